--- a/Source/Daemon/ControlProcess.cxx
+++ b/Source/Daemon/ControlProcess.cxx
@@ -10,7 +10,7 @@
 #include "Control/ReplicaService.h"
 #include "Daemon/ProcessFrame.h"
 #include "Daemon/ReplicaLog.h"
-#include "Placement/PlacementDirector.h"
+#include "Placement/PlacementController.h"
 #include "Store/DiskFiles.h"
 
 namespace parsleycove {
--- a/Source/Placement/PlacementDirector.cxx
+++ b/Source/Placement/PlacementController.cxx
@@ -1,5 +1,5 @@
 // Gives engines their layers while this VM's replica leads.
-#include "Placement/PlacementDirector.h"
+#include "Placement/PlacementController.h"
 
 #include <utility>
 
--- a/Source/Placement/PlacementDirector.h
+++ b/Source/Placement/PlacementController.h
@@ -9,7 +9,7 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "Placement/EngineOrders.h"
-#include "Placement/PlacementDesk.h"
+#include "Placement/PlacementTracker.h"
 #include "Routing/RoutingConfig.h"
 #include "Routing/RunnerTable.h"
 #include "State/ControlPort.h"
--- a/Source/Placement/PlacementDesk.cxx
+++ b/Source/Placement/PlacementTracker.cxx
@@ -1,5 +1,5 @@
 // What the leader has ordered and what engines report, put together.
-#include "Placement/PlacementDesk.h"
+#include "Placement/PlacementTracker.h"
 
 #include <algorithm>
 
--- a/Tests/Placement/PlacementDirectorTest.cxx
+++ b/Tests/Placement/PlacementControllerTest.cxx
@@ -5,7 +5,7 @@
 #include <boost/asio/io_context.hpp>
 
 #include "ConfigDocument.h"
-#include "Placement/PlacementDirector.h"
+#include "Placement/PlacementController.h"
 #include "Support/FakeControl.h"
 #include "Support/MemorySink.h"
 
--- a/Tests/Placement/PlacementDeskTest.cxx
+++ b/Tests/Placement/PlacementTrackerTest.cxx
@@ -1,7 +1,7 @@
 // Tests of the leader's orders: repeats, late reports, losses, other leaders.
 #include <algorithm>
 
-#include "Placement/PlacementDesk.h"
+#include "Placement/PlacementTracker.h"
 #include "Routing/EngineFleet.h"
 
 // Last, since its leak macros redefine new.
