--- a/Source/Placement/PlacementTracker.cxx
+++ b/Source/Placement/PlacementTracker.cxx
@@ -15,37 +15,38 @@
 
 } // namespace
 
-PlacementDesk::PlacementDesk(PlacementDeskSettings aSettings)
+PlacementTracker::PlacementTracker(PlacementTrackerSettings aSettings)
   : m_settings(aSettings)
 {
 }
 
 void
-PlacementDesk::Reset()
+PlacementTracker::Reset()
 {
-  m_assigned.clear();
-  m_seen = 0;
-  m_settled = false;
+  m_assignments.clear();
+  m_engineCount = 0;
+  m_hasSettled = false;
 }
 
 bool
-PlacementDesk::HasSettled(TimePoint aNow, std::size_t aEngines)
+PlacementTracker::UpdateSettled(TimePoint aNow, std::size_t aEngineCount)
 {
-  if (m_seen == 0 && aEngines != 0) {
-    m_firstAt = aNow;
+  if (m_engineCount == 0 && aEngineCount != 0) {
+    m_firstEngineAt = aNow;
   }
-  if (aEngines != m_seen) {
-    m_seen = aEngines;
-    m_lastNewAt = aNow;
+  if (aEngineCount != m_engineCount) {
+    m_engineCount = aEngineCount;
+    m_engineCountChangedAt = aNow;
   }
-  m_settled = m_settled || (aEngines != 0 &&
-                            (aNow - m_lastNewAt >= m_settings.m_settle ||
-                             aNow - m_firstAt >= m_settings.m_longestSettle));
-  return m_settled;
+  m_hasSettled = m_hasSettled ||
+                 (aEngineCount != 0 &&
+                  (aNow - m_engineCountChangedAt >= m_settings.m_settleTime ||
+                   aNow - m_firstEngineAt >= m_settings.m_maxSettleTime));
+  return m_hasSettled;
 }
 
-PlacementDesk::Suspicion*
-PlacementDesk::FindSuspicion(TimePoint aNow, const Runner& aEngine)
+PlacementTracker::Suspicion*
+PlacementTracker::UpdateSuspicion(TimePoint aNow, const Runner& aEngine)
 {
   if (!aEngine.m_isSuspected) {
     m_suspicions.erase(aEngine.m_id);
@@ -55,71 +56,77 @@
   if (suspicion.m_incarnation != aEngine.m_incarnation) {
     suspicion = Suspicion{};
     suspicion.m_incarnation = aEngine.m_incarnation;
-    suspicion.m_since = aNow;
+    suspicion.m_suspectedAt = aNow;
   }
   return &suspicion;
 }
 
 bool
-PlacementDesk::IsLost(TimePoint aNow, const Suspicion& aSuspicion) const
+PlacementTracker::IsPresumedFailed(TimePoint aNow,
+                                   const Suspicion& aSuspicion) const
 {
-  const Duration age = aNow - aSuspicion.m_since;
-  const bool isGone =
-    aSuspicion.m_isGone || aSuspicion.m_silences >= m_settings.m_silences;
-  return age >= (isGone ? m_settings.m_goneAfter : m_settings.m_lostAfter);
+  const Duration age = aNow - aSuspicion.m_suspectedAt;
+  const bool isConfirmed =
+    aSuspicion.m_isUnreachable ||
+    aSuspicion.m_unansweredProbes >= m_settings.m_unansweredProbeLimit;
+  return age >= (isConfirmed ? m_settings.m_confirmedFailureDelay
+                             : m_settings.m_unconfirmedFailureDelay);
 }
 
 std::vector<RunnerPtr>
-PlacementDesk::FindUnsure(TimePoint aNow,
-                          const std::vector<RunnerPtr>& aEngines)
+PlacementTracker::CollectEnginesToProbe(TimePoint aNow,
+                                        const std::vector<RunnerPtr>& aEngines)
 {
-  std::vector<RunnerPtr> unsure;
+  std::vector<RunnerPtr> toProbe;
   for (const RunnerPtr& engine : aEngines) {
-    Suspicion* suspicion = FindSuspicion(aNow, *engine);
-    const bool isOpen = suspicion != nullptr && !suspicion->m_isAsked &&
-                        !suspicion->m_isGone &&
-                        suspicion->m_silences < m_settings.m_silences &&
-                        aNow - suspicion->m_askedAt >= m_settings.m_askAgain;
-    if (isOpen) {
-      suspicion->m_isAsked = true;
-      suspicion->m_askedAt = aNow;
-      unsure.push_back(engine);
+    Suspicion* suspicion = UpdateSuspicion(aNow, *engine);
+    const bool needsProbe =
+      suspicion != nullptr && !suspicion->m_isProbePending &&
+      !suspicion->m_isUnreachable &&
+      suspicion->m_unansweredProbes < m_settings.m_unansweredProbeLimit &&
+      aNow - suspicion->m_probedAt >= m_settings.m_probeInterval;
+    if (needsProbe) {
+      suspicion->m_isProbePending = true;
+      suspicion->m_probedAt = aNow;
+      toProbe.push_back(engine);
     }
   }
-  return unsure;
+  return toProbe;
 }
 
 void
-PlacementDesk::NotePresence(const Runner& aEngine, EnginePresence aPresence)
+PlacementTracker::RecordProbeResult(const Runner& aEngine,
+                                    EngineProbeResult aResult)
 {
-  const auto place = m_suspicions.find(aEngine.m_id);
-  if (place == m_suspicions.end() ||
-      place->second.m_incarnation != aEngine.m_incarnation) {
+  const auto found = m_suspicions.find(aEngine.m_id);
+  if (found == m_suspicions.end() ||
+      found->second.m_incarnation != aEngine.m_incarnation) {
     return;
   }
-  Suspicion& suspicion = place->second;
-  suspicion.m_isAsked = false;
-  suspicion.m_isGone = aPresence == EnginePresence::Gone;
-  suspicion.m_silences =
-    aPresence == EnginePresence::Answers ? 0 : suspicion.m_silences + 1;
+  Suspicion& suspicion = found->second;
+  suspicion.m_isProbePending = false;
+  suspicion.m_isUnreachable = aResult == EngineProbeResult::Unreachable;
+  suspicion.m_unansweredProbes = aResult == EngineProbeResult::Answered
+                                   ? 0
+                                   : suspicion.m_unansweredProbes + 1;
 }
 
 std::vector<DueOrder>
-PlacementDesk::FindDue(TimePoint aNow,
-                       const LayeredModel& aModel,
-                       const std::vector<RunnerPtr>& aEngines)
+PlacementTracker::CollectDueOrders(TimePoint aNow,
+                                   const LayeredModel& aModel,
+                                   const std::vector<RunnerPtr>& aEngines)
 {
   std::vector<DueOrder> due;
-  if (!HasSettled(aNow, aEngines.size())) {
+  if (!UpdateSettled(aNow, aEngines.size())) {
     return due;
   }
   std::vector<LayoutHost> hosts;
-  bool mayReshape = true;
+  bool mayRepartition = true;
   for (const RunnerPtr& engine : aEngines) {
-    const Suspicion* suspicion = FindSuspicion(aNow, *engine);
-    if (suspicion != nullptr && IsLost(aNow, *suspicion)) {
-      mayReshape =
-        mayReshape && aNow - suspicion->m_since >= m_settings.m_reshapeAfter;
+    const Suspicion* suspicion = UpdateSuspicion(aNow, *engine);
+    if (suspicion != nullptr && IsPresumedFailed(aNow, *suspicion)) {
+      mayRepartition = mayRepartition && aNow - suspicion->m_suspectedAt >=
+                                           m_settings.m_repartitionDelay;
       continue;
     }
     LayoutHost host{ engine->m_id,
@@ -127,28 +134,30 @@
                      engine->m_accelerator,
                      engine->m_zone,
                      SpanOf(*engine) };
-    const auto known = m_assigned.find(engine->m_id);
-    const bool isOrdered = known != m_assigned.end() &&
-                           known->second.m_incarnation == engine->m_incarnation;
-    if (isOrdered && host.m_holds != known->second.m_span) {
-      host.m_holds = known->second.m_span;
+    const auto assignment = m_assignments.find(engine->m_id);
+    const bool isOrdered =
+      assignment != m_assignments.end() &&
+      assignment->second.m_incarnation == engine->m_incarnation;
+    if (isOrdered && host.m_holds != assignment->second.m_span) {
+      host.m_holds = assignment->second.m_span;
       host.m_isReported = false;
-      host.m_isLoading = aNow - known->second.m_firstAt < m_settings.m_loading;
-      if (known->second.m_repeatAt <= aNow) {
-        known->second.m_repeatAt = aNow + m_settings.m_repeat;
-        due.push_back({ engine, known->second.m_span });
+      host.m_isLoading =
+        aNow - assignment->second.m_orderedAt < m_settings.m_loadingTimeout;
+      if (assignment->second.m_retryAt <= aNow) {
+        assignment->second.m_retryAt = aNow + m_settings.m_retryInterval;
+        due.push_back({ engine, assignment->second.m_span });
       }
     }
     hosts.push_back(std::move(host));
   }
   for (const LayoutOrder& order :
-       m_layout.Plan(aModel, std::move(hosts), mayReshape)) {
+       m_layout.Plan(aModel, std::move(hosts), mayRepartition)) {
     const auto engine = std::find_if(
       aEngines.begin(), aEngines.end(), [&](const RunnerPtr& aEngine) {
         return aEngine->m_id == order.m_id;
       });
-    m_assigned[order.m_id] = {
-      order.m_incarnation, order.m_span, aNow + m_settings.m_repeat, aNow
+    m_assignments[order.m_id] = {
+      order.m_incarnation, order.m_span, aNow + m_settings.m_retryInterval, aNow
     };
     due.push_back({ *engine, order.m_span });
   }
@@ -156,25 +165,25 @@
 }
 
 void
-PlacementDesk::NoteOutcome(TimePoint aNow,
-                           const Runner& aEngine,
-                           OrderOutcome aOutcome)
+PlacementTracker::RecordOrderOutcome(TimePoint aNow,
+                                     const Runner& aEngine,
+                                     OrderOutcome aOutcome)
 {
-  const auto known = m_assigned.find(aEngine.m_id);
-  if (known == m_assigned.end() ||
-      known->second.m_incarnation != aEngine.m_incarnation) {
+  const auto assignment = m_assignments.find(aEngine.m_id);
+  if (assignment == m_assignments.end() ||
+      assignment->second.m_incarnation != aEngine.m_incarnation) {
     return;
   }
   switch (aOutcome) {
-    case OrderOutcome::Taken:
+    case OrderOutcome::Accepted:
       return;
     case OrderOutcome::Refused:
     case OrderOutcome::Fenced:
-      known->second.m_repeatAt = aNow + m_settings.m_repeatRefused;
+      assignment->second.m_retryAt = aNow + m_settings.m_retryAfterRefusal;
       return;
-    case OrderOutcome::NotThere:
+    case OrderOutcome::NotDelivered:
     case OrderOutcome::Unknown:
-      known->second.m_repeatAt = aNow + m_settings.m_repeatUnanswered;
+      assignment->second.m_retryAt = aNow + m_settings.m_retryAfterNoAnswer;
       return;
   }
 }
--- a/Tests/Placement/PlacementTrackerTest.cxx
+++ b/Tests/Placement/PlacementTrackerTest.cxx
@@ -21,15 +21,15 @@
 } // namespace
 
 // clang-format off
-TEST_GROUP(PlacementDesk)
+TEST_GROUP(PlacementTracker)
 {
   const LayeredModel m_model = MakeModel();
   std::vector<LayoutHost> m_hosts = MakeHosts(UsualGroups());
-  PlacementDesk m_desk;
+  PlacementTracker m_tracker;
 
-  std::vector<DueOrder> FindDue(double aSeconds)
+  std::vector<DueOrder> CollectDueOrders(double aSeconds)
   {
-    return m_desk.FindDue(At(aSeconds), m_model, MakeEngines(m_hosts));
+    return m_tracker.CollectDueOrders(At(aSeconds), m_model, MakeEngines(m_hosts));
   }
   std::vector<RunnerPtr> MakeEnginesWithSuspect(const std::string& aId) const
   {
@@ -42,7 +42,7 @@
     return engines;
   }
   // What was ordered is reported as held.
-  void CarryOut(const std::vector<DueOrder>& aOrders)
+  void ReportAsHeld(const std::vector<DueOrder>& aOrders)
   {
     for (const DueOrder& order : aOrders) {
       ApplyOrders(m_hosts, { { order.m_engine->m_id, 1, order.m_span } });
@@ -51,125 +51,128 @@
 };
 // clang-format on
 
-TEST(PlacementDesk, WaitsUntilNoFurtherEngineComes)
+TEST(PlacementTracker, WaitsUntilNoFurtherEngineComes)
 {
-  CHECK_EQUAL(0U, FindDue(0).size());
-  CHECK_EQUAL(0U, FindDue(0.5).size());
-  CHECK_EQUAL(m_hosts.size(), FindDue(0.8).size());
+  CHECK_EQUAL(0U, CollectDueOrders(0).size());
+  CHECK_EQUAL(0U, CollectDueOrders(0.5).size());
+  CHECK_EQUAL(m_hosts.size(), CollectDueOrders(0.8).size());
 }
 
-TEST(PlacementDesk, GivesEachOrderOnce)
+TEST(PlacementTracker, GivesEachOrderOnce)
 {
-  FindDue(0);
-  FindDue(1);
-  CHECK_EQUAL(0U, FindDue(2).size());
+  CollectDueOrders(0);
+  CollectDueOrders(1);
+  CHECK_EQUAL(0U, CollectDueOrders(2).size());
 }
 
-TEST(PlacementDesk, RepeatsTheSameOrderWhereNoAnswerCame)
+TEST(PlacementTracker, RepeatsTheSameOrderWhereNoAnswerCame)
 {
-  FindDue(0);
-  const auto orders = FindDue(1);
-  m_desk.NoteOutcome(At(1), *orders[0].m_engine, OrderOutcome::Unknown);
-  CHECK_EQUAL(0U, FindDue(4).size());
-  const auto again = FindDue(5.5);
+  CollectDueOrders(0);
+  const auto orders = CollectDueOrders(1);
+  m_tracker.RecordOrderOutcome(
+    At(1), *orders[0].m_engine, OrderOutcome::Unknown);
+  CHECK_EQUAL(0U, CollectDueOrders(4).size());
+  const auto again = CollectDueOrders(5.5);
   CHECK_EQUAL(1U, again.size());
   STRCMP_EQUAL(orders[0].m_engine->m_id.c_str(),
                again[0].m_engine->m_id.c_str());
   CHECK(orders[0].m_span == again[0].m_span);
 }
 
-TEST(PlacementDesk, OrdersNothingOnceAllIsReported)
+TEST(PlacementTracker, OrdersNothingOnceAllIsReported)
 {
-  FindDue(0);
-  CarryOut(FindDue(1));
-  CHECK_EQUAL(0U, FindDue(60).size());
+  CollectDueOrders(0);
+  ReportAsHeld(CollectDueOrders(1));
+  CHECK_EQUAL(0U, CollectDueOrders(60).size());
 }
 
-TEST(PlacementDesk, ASuspectedEngineIsReplacedAfterItsNextReportIsOverdue)
+TEST(PlacementTracker, ASuspectedEngineIsReplacedAfterItsNextReportIsOverdue)
 {
-  FindDue(0);
-  CarryOut(FindDue(1));
+  CollectDueOrders(0);
+  ReportAsHeld(CollectDueOrders(1));
   // Its neighbours have room for its layers.
   const auto engines = MakeEnginesWithSuspect("b-small-2");
-  CHECK_EQUAL(0U, m_desk.FindDue(At(2), m_model, engines).size());
-  CHECK_EQUAL(0U, m_desk.FindDue(At(3.5), m_model, engines).size());
-  CHECK_FALSE(m_desk.FindDue(At(3.7), m_model, engines).empty());
+  CHECK_EQUAL(0U, m_tracker.CollectDueOrders(At(2), m_model, engines).size());
+  CHECK_EQUAL(0U, m_tracker.CollectDueOrders(At(3.5), m_model, engines).size());
+  CHECK_FALSE(m_tracker.CollectDueOrders(At(3.7), m_model, engines).empty());
 }
 
 // Load pattern: an engine of a zone's only chain crashes at the peak, and the
 // zone serves nobody until another one has its layers.
-TEST(PlacementDesk, AnEngineThatDoesNotAnswerTheLeaderIsReplacedAtOnce)
+TEST(PlacementTracker, AnEngineThatDoesNotAnswerTheLeaderIsReplacedAtOnce)
 {
-  FindDue(0);
-  CarryOut(FindDue(1));
+  CollectDueOrders(0);
+  ReportAsHeld(CollectDueOrders(1));
   const auto engines = MakeEnginesWithSuspect("b-small-2");
-  CHECK_EQUAL(0U, m_desk.FindDue(At(2), m_model, engines).size());
-  const auto unsure = m_desk.FindUnsure(At(2), engines);
-  CHECK_EQUAL(1U, unsure.size());
-  STRCMP_EQUAL("b-small-2", unsure[0]->m_id.c_str());
-  m_desk.NotePresence(*unsure[0], EnginePresence::Gone);
-  CHECK_EQUAL(0U, m_desk.FindUnsure(At(2.2), engines).size());
-  CHECK_EQUAL(0U, m_desk.FindDue(At(2.3), m_model, engines).size());
-  CHECK_FALSE(m_desk.FindDue(At(2.5), m_model, engines).empty());
+  CHECK_EQUAL(0U, m_tracker.CollectDueOrders(At(2), m_model, engines).size());
+  const auto toProbe = m_tracker.CollectEnginesToProbe(At(2), engines);
+  CHECK_EQUAL(1U, toProbe.size());
+  STRCMP_EQUAL("b-small-2", toProbe[0]->m_id.c_str());
+  m_tracker.RecordProbeResult(*toProbe[0], EngineProbeResult::Unreachable);
+  CHECK_EQUAL(0U, m_tracker.CollectEnginesToProbe(At(2.2), engines).size());
+  CHECK_EQUAL(0U, m_tracker.CollectDueOrders(At(2.3), m_model, engines).size());
+  CHECK_FALSE(m_tracker.CollectDueOrders(At(2.5), m_model, engines).empty());
 }
 
 // One question may be lost, so the second one decides.
-TEST(PlacementDesk, AnEngineThatIsSilentOnceIsAskedAgain)
+TEST(PlacementTracker, AnEngineThatIsSilentOnceIsAskedAgain)
 {
-  FindDue(0);
-  CarryOut(FindDue(1));
+  CollectDueOrders(0);
+  ReportAsHeld(CollectDueOrders(1));
   const auto engines = MakeEnginesWithSuspect("b-small-2");
-  const auto unsure = m_desk.FindUnsure(At(2), engines);
-  CHECK_EQUAL(0U, m_desk.FindUnsure(At(2.2), engines).size());
-  m_desk.NotePresence(*unsure[0], EnginePresence::Silent);
-  CHECK_EQUAL(0U, m_desk.FindDue(At(2.5), m_model, engines).size());
-  CHECK_EQUAL(1U, m_desk.FindUnsure(At(2.5), engines).size());
-  m_desk.NotePresence(*unsure[0], EnginePresence::Silent);
-  CHECK_FALSE(m_desk.FindDue(At(2.6), m_model, engines).empty());
+  const auto toProbe = m_tracker.CollectEnginesToProbe(At(2), engines);
+  CHECK_EQUAL(0U, m_tracker.CollectEnginesToProbe(At(2.2), engines).size());
+  m_tracker.RecordProbeResult(*toProbe[0], EngineProbeResult::NoAnswer);
+  CHECK_EQUAL(0U, m_tracker.CollectDueOrders(At(2.5), m_model, engines).size());
+  CHECK_EQUAL(1U, m_tracker.CollectEnginesToProbe(At(2.5), engines).size());
+  m_tracker.RecordProbeResult(*toProbe[0], EngineProbeResult::NoAnswer);
+  CHECK_FALSE(m_tracker.CollectDueOrders(At(2.6), m_model, engines).empty());
 }
 
 // Load pattern: a gateway that is cut off from an engine reports it dead.
-TEST(PlacementDesk, AnEngineThatAnswersTheLeaderKeepsItsLayersUntilItsReport)
+TEST(PlacementTracker, AnEngineThatAnswersTheLeaderKeepsItsLayersUntilItsReport)
 {
-  FindDue(0);
-  CarryOut(FindDue(1));
+  CollectDueOrders(0);
+  ReportAsHeld(CollectDueOrders(1));
   const auto engines = MakeEnginesWithSuspect("b-small-2");
   for (const double time : { 2.0, 2.5, 3.0, 3.5 }) {
-    for (const RunnerPtr& engine : m_desk.FindUnsure(At(time), engines)) {
-      m_desk.NotePresence(*engine, EnginePresence::Answers);
+    for (const RunnerPtr& engine :
+         m_tracker.CollectEnginesToProbe(At(time), engines)) {
+      m_tracker.RecordProbeResult(*engine, EngineProbeResult::Answered);
     }
-    CHECK_EQUAL(0U, m_desk.FindDue(At(time), m_model, engines).size());
+    CHECK_EQUAL(0U,
+                m_tracker.CollectDueOrders(At(time), m_model, engines).size());
   }
 }
 
 // Load pattern: a crash of three to five seconds in a zone that only just holds
 // the model. What closes its gap moves all borders.
-TEST(PlacementDesk, BordersMoveOnlyOnceALossLasts)
+TEST(PlacementTracker, BordersMoveOnlyOnceALossLasts)
 {
-  FindDue(0);
-  CarryOut(FindDue(1));
+  CollectDueOrders(0);
+  ReportAsHeld(CollectDueOrders(1));
   const auto engines = MakeEnginesWithSuspect("c-fast-1");
-  CHECK_EQUAL(0U, m_desk.FindDue(At(2), m_model, engines).size());
-  CHECK_EQUAL(0U, m_desk.FindDue(At(7.4), m_model, engines).size());
-  CHECK_FALSE(m_desk.FindDue(At(7.6), m_model, engines).empty());
+  CHECK_EQUAL(0U, m_tracker.CollectDueOrders(At(2), m_model, engines).size());
+  CHECK_EQUAL(0U, m_tracker.CollectDueOrders(At(7.4), m_model, engines).size());
+  CHECK_FALSE(m_tracker.CollectDueOrders(At(7.6), m_model, engines).empty());
 }
 
-TEST(PlacementDesk, AnEngineThatStartedAgainGetsItsLayersAgain)
+TEST(PlacementTracker, AnEngineThatStartedAgainGetsItsLayersAgain)
 {
-  FindDue(0);
-  CarryOut(FindDue(1));
+  CollectDueOrders(0);
+  ReportAsHeld(CollectDueOrders(1));
   m_hosts[0].m_incarnation = 2;
   m_hosts[0].m_holds = {};
-  const auto orders = FindDue(3);
+  const auto orders = CollectDueOrders(3);
   CHECK_EQUAL(1U, orders.size());
   CHECK_EQUAL(2U, orders[0].m_engine->m_incarnation);
 }
 
-TEST(PlacementDesk, ANewLeaderKeepsWhatEnginesHold)
+TEST(PlacementTracker, ANewLeaderKeepsWhatEnginesHold)
 {
-  FindDue(0);
-  CarryOut(FindDue(1));
-  m_desk.Reset();
-  FindDue(10);
-  CHECK_EQUAL(0U, FindDue(11).size());
+  CollectDueOrders(0);
+  ReportAsHeld(CollectDueOrders(1));
+  m_tracker.Reset();
+  CollectDueOrders(10);
+  CHECK_EQUAL(0U, CollectDueOrders(11).size());
 }
