--- a/Tests/Platform/RunnerReportTest.cxx
+++ b/Tests/Platform/RunnerReportTest.cxx
@@ -25,11 +25,11 @@
 }
 
 std::string
-Fault(const std::string& aBody)
+ReadError(const std::string& aBody)
 {
-  std::string fault;
-  CHECK_FALSE(ReadRunnerReport("i-1", aBody, fault).has_value());
-  return fault;
+  std::string error;
+  CHECK_FALSE(ReadRunnerReport("i-1", aBody, error).has_value());
+  return error;
 }
 
 } // namespace
@@ -38,8 +38,8 @@
 
 TEST(RunnerReport, IsReadIntoAnEndpoint)
 {
-  std::string fault;
-  const auto report = ReadRunnerReport("i-1", kReport, fault);
+  std::string error;
+  const auto report = ReadRunnerReport("i-1", kReport, error);
   const state::EndpointT& endpoint = report->m_endpoint;
   STRCMP_EQUAL("i-1", endpoint.id.c_str());
   STRCMP_EQUAL("10.1.0.9", endpoint.address.c_str());
@@ -54,26 +54,26 @@
 
 TEST(RunnerReport, LayersMayBeAListOrNothing)
 {
-  std::string fault;
+  std::string error;
   const std::string range = R"({"from":20,"target":31,"version":1})";
   const auto list =
-    ReadRunnerReport("i-1", Replace(kReport, range, "[" + range + "]"), fault);
+    ReadRunnerReport("i-1", Replace(kReport, range, "[" + range + "]"), error);
   CHECK_EQUAL(11U, list->m_endpoint.layer_count);
   for (const char* none : { "null", "[]", "{}" }) {
     const auto empty =
-      ReadRunnerReport("i-1", Replace(kReport, range, none), fault);
+      ReadRunnerReport("i-1", Replace(kReport, range, none), error);
     CHECK_EQUAL(0U, empty->m_endpoint.layer_count);
   }
 }
 
 TEST(RunnerReport, WithoutModelsItIsAPlainService)
 {
-  std::string fault;
+  std::string error;
   const auto report = ReadRunnerReport(
     "i-2",
     R"({"service":"s2","address":"10.1.0.9:80","zone":"z","slots":6,
 "state":"draining","sequence":9})",
-    fault);
+    error);
   CHECK(report->m_endpoint.kind == state::EndpointKind::PlainService);
   CHECK(report->m_isLeaving);
 }
@@ -81,13 +81,13 @@
 TEST(RunnerReport, NamesWhatIsWrong)
 {
   STRCMP_EQUAL("heartbeat: expected a whole JSON object",
-               Fault("\x01\x02").c_str());
+               ReadError("\x01\x02").c_str());
   STRCMP_EQUAL("heartbeat: \"state\": expected ready or draining",
-               Fault(Replace(kReport, "\"ready\"", "\"odd\"")).c_str());
+               ReadError(Replace(kReport, "\"ready\"", "\"odd\"")).c_str());
   STRCMP_EQUAL("heartbeat: \"address\": expected an IP number with a port",
-               Fault(Replace(kReport, "10.1.0.9:8080", "host:1")).c_str());
+               ReadError(Replace(kReport, "10.1.0.9:8080", "host:1")).c_str());
   STRCMP_EQUAL("heartbeat: \"slots\": expected a whole number of 0 or more",
-               Fault(Replace(kReport, "192", "\"many\"")).c_str());
+               ReadError(Replace(kReport, "192", "\"many\"")).c_str());
   STRCMP_EQUAL("heartbeat: \"service\": expected a text",
-               Fault(Replace(kReport, "\"service\":\"s1\",", "")).c_str());
+               ReadError(Replace(kReport, "\"service\":\"s1\",", "")).c_str());
 }
