--- a/Source/Placement/EngineOrders.h
+++ b/Source/Placement/EngineOrders.h
@@ -1,4 +1,5 @@
-// Orders to engines, whoever carries them.
+// Interface through which the leader probes engines and orders them to hold
+// layers. The deployment provides the transport.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +12,24 @@
 
 enum class OrderOutcome
 {
-  // Begun, done, or the engine holds the layers already.
+  // The engine is loading the layers or holds them already.
   Accepted,
-  // It does not fit the engine's present state.
+  // The order does not fit the current state of the engine.
   Refused,
-  // The engine has seen a higher fencing token: another leader gives orders.
+  // The engine has seen a higher fencing token: another leader sends orders.
   Fenced,
-  // Another endpoint has the address.
+  // No connection, or another endpoint has the address.
   NotDelivered,
-  // May have been taken, or may be carried out later.
+  // The engine may have accepted the order, or may still carry it out.
   Unknown,
 };
 
 enum class EngineProbeResult
 {
   Answered,
-  // Nothing listens at its address.
+  // No connection: nothing listens at the engine's address.
   Unreachable,
-  // No answer in time.
+  // The engine did not answer in time, or the connection broke.
   NoAnswer,
 };
 
@@ -36,9 +37,10 @@
 {
 public:
   virtual ~EngineOrders() = default;
-  // Whether the engine answers a question that costs it nothing.
+  // Sends the engine a request that costs it nothing.
   virtual asio::awaitable<EngineProbeResult> Probe(RunnerPtr aEngine) = 0;
-  // The engine is to hold exactly these layers. aFence grows with each leader.
+  // Orders the engine to hold exactly the layers of aSpan. aFence is the
+  // leader's fencing token; each new leader has a higher one.
   virtual asio::awaitable<OrderOutcome> HoldLayers(RunnerPtr aEngine,
                                                    LayerSpan aSpan,
                                                    std::uint64_t aFence) = 0;
--- a/Source/Placement/PlacementController.cxx
+++ b/Source/Placement/PlacementController.cxx
@@ -1,4 +1,4 @@
-// Gives engines their layers while this VM's replica leads.
+// Assigns layers to engines while this VM's replica leads.
 #include "Placement/PlacementController.h"
 
 #include <utility>
@@ -67,7 +67,7 @@
       tracker.Reset();
     }
   }
-  // A lease says that the copy is recent enough to give orders by.
+  // The lease guarantees that the view is recent enough to base orders on.
   if (m_term == 0 || m_isFenced || !m_control.HasLease(BootClock::now())) {
     return;
   }
@@ -100,7 +100,8 @@
     m_config = std::move(config);
     return;
   }
-  // It was checked before it was accepted, so another release accepted it.
+  // Documents are validated before they are accepted, so another release has
+  // accepted this one.
   m_log.Write(DecisionEvent::ConfigRefused, [&](DecisionLine& aLine) {
     aLine.Add("version", static_cast<std::int64_t>(m_documentVersion))
       .Add("why", reason.m_text);
--- a/Source/Placement/PlacementController.h
+++ b/Source/Placement/PlacementController.h
@@ -1,4 +1,6 @@
-// Gives engines their layers while this VM's replica leads.
+// Assigns layers to engines while this VM's replica leads.
+//
+// Handles engines that crash, restart or join the fleet, and changes of leader.
 #pragma once
 
 #include <functional>
@@ -17,10 +19,13 @@
 
 namespace parsleycove {
 
+// Reconciles the engines of each service with the replicated state at a fixed
+// interval: probes engines that gateways suspect and sends the orders that are
+// due.
 class PlacementController
 {
 public:
-  // Term that this VM's replica leads; 0: it does not lead.
+  // Returns the term that this VM's replica leads, or 0 if it does not lead.
   using TermReader = std::function<std::uint64_t()>;
 
   PlacementController(asio::io_context& aContext,
@@ -34,6 +39,7 @@
 
 private:
   void Reconcile();
+  // Reads the latest replicated view and its configuration document.
   void UpdateView();
   void ReconcileService(const ServiceRule& aService);
   asio::awaitable<void> ProbeEngine(std::string aService, RunnerPtr aEngine);
@@ -49,11 +55,13 @@
   const TermReader m_readTerm;
   asio::steady_timer m_timer;
   std::uint64_t m_term = 0;
-  // Another leader has given orders since: none before a new term.
+  // Another leader has sent orders, so this VM sends none until its replica
+  // leads a new term.
   bool m_isFenced = false;
   boost::intrusive_ptr<const ClusterView> m_view;
   boost::intrusive_ptr<const RoutingConfig> m_config;
-  // Of the last document that was looked at, also of one that is not in force.
+  // Version of the last configuration document that was read, including one
+  // that could not be decoded.
   std::uint64_t m_documentVersion = 0;
   boost::intrusive_ptr<const RunnerTable> m_runners;
   std::map<std::string, PlacementTracker, std::less<>> m_trackers;
--- a/Source/Placement/PlacementTracker.cxx
+++ b/Source/Placement/PlacementTracker.cxx
@@ -1,4 +1,4 @@
-// What the leader has ordered and what engines report, put together.
+// Compares the leader's placement orders with the reports of engines.
 #include "Placement/PlacementTracker.h"
 
 #include <algorithm>
--- a/Tests/Placement/PlacementControllerTest.cxx
+++ b/Tests/Placement/PlacementControllerTest.cxx
@@ -1,4 +1,4 @@
-// Tests of the leader's looks at engines: who is asked, who gets orders.
+// Tests which engines the leader probes and which ones get orders.
 #include <string>
 #include <vector>
 
@@ -9,7 +9,7 @@
 #include "Support/FakeControl.h"
 #include "Support/MemorySink.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
@@ -23,7 +23,7 @@
  "limits":{"max-header-bytes":2048,"max-body-bytes":4096},
  "tenants":[],"version":1})";
 
-// Notes orders and answers all questions alike.
+// Records orders and returns the same result for every probe.
 class FakeEngineOrders final : public EngineOrders
 {
 public:
@@ -117,7 +117,8 @@
 };
 // clang-format on
 
-// Load pattern: an engine of a zone's only chain crashes at the peak.
+// Guards against an outage of a zone at peak load: an engine of the zone's only
+// chain crashes, and another engine has to take over the layers.
 TEST(PlacementController, AnEngineThatIsGoneIsReplaced)
 {
   m_orders.m_probeResult = EngineProbeResult::Unreachable;
@@ -131,7 +132,8 @@
     { "endpoint_suspected", "\"e2\"", "nothing listens at its address" }));
 }
 
-// The report was wrong: the engine announces itself within 1.2 s.
+// Guards against acting on a wrong failure report: the engine is alive and
+// announces itself within 1.2 s.
 TEST(PlacementController, AnEngineThatAnswersIsToldSo)
 {
   Suspect("e2");
--- a/Tests/Placement/PlacementTrackerTest.cxx
+++ b/Tests/Placement/PlacementTrackerTest.cxx
@@ -1,10 +1,11 @@
-// Tests of the leader's orders: repeats, late reports, losses, other leaders.
+// Tests the leader's placement orders: retries, late reports, failed engines
+// and changes of leader.
 #include <algorithm>
 
 #include "Placement/PlacementTracker.h"
 #include "Routing/EngineFleet.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
@@ -29,7 +30,8 @@
 
   std::vector<DueOrder> CollectDueOrders(double aSeconds)
   {
-    return m_tracker.CollectDueOrders(At(aSeconds), m_model, MakeEngines(m_hosts));
+    return m_tracker.CollectDueOrders(
+      At(aSeconds), m_model, MakeEngines(m_hosts));
   }
   std::vector<RunnerPtr> MakeEnginesWithSuspect(const std::string& aId) const
   {
@@ -41,7 +43,7 @@
     lost = suspected;
     return engines;
   }
-  // What was ordered is reported as held.
+  // Makes the engines report the ordered layers as held.
   void ReportAsHeld(const std::vector<DueOrder>& aOrders)
   {
     for (const DueOrder& order : aOrders) {
@@ -90,15 +92,16 @@
 {
   CollectDueOrders(0);
   ReportAsHeld(CollectDueOrders(1));
-  // Its neighbours have room for its layers.
+  // The neighbouring engines have memory for the layers of b-small-2.
   const auto engines = MakeEnginesWithSuspect("b-small-2");
   CHECK_EQUAL(0U, m_tracker.CollectDueOrders(At(2), m_model, engines).size());
   CHECK_EQUAL(0U, m_tracker.CollectDueOrders(At(3.5), m_model, engines).size());
   CHECK_FALSE(m_tracker.CollectDueOrders(At(3.7), m_model, engines).empty());
 }
 
-// Load pattern: an engine of a zone's only chain crashes at the peak, and the
-// zone serves nobody until another one has its layers.
+// Guards against a slow replacement at peak load: an engine of a zone's only
+// chain crashes, and the zone serves no requests until another engine holds
+// the layers.
 TEST(PlacementTracker, AnEngineThatDoesNotAnswerTheLeaderIsReplacedAtOnce)
 {
   CollectDueOrders(0);
@@ -114,7 +117,8 @@
   CHECK_FALSE(m_tracker.CollectDueOrders(At(2.5), m_model, engines).empty());
 }
 
-// One question may be lost, so the second one decides.
+// Guards against replacing an engine over one lost probe: two probes without an
+// answer confirm a failure.
 TEST(PlacementTracker, AnEngineThatIsSilentOnceIsAskedAgain)
 {
   CollectDueOrders(0);
@@ -129,7 +133,8 @@
   CHECK_FALSE(m_tracker.CollectDueOrders(At(2.6), m_model, engines).empty());
 }
 
-// Load pattern: a gateway that is cut off from an engine reports it dead.
+// Guards against replacing a healthy engine: a gateway that is cut off from the
+// engine reports it as failed, but the engine answers the leader.
 TEST(PlacementTracker, AnEngineThatAnswersTheLeaderKeepsItsLayersUntilItsReport)
 {
   CollectDueOrders(0);
@@ -145,8 +150,9 @@
   }
 }
 
-// Load pattern: a crash of three to five seconds in a zone that only just holds
-// the model. What closes its gap moves all borders.
+// Guards against moving the layers of a whole zone for a crash of three to five
+// seconds: in a zone that only just holds the model, covering the layers of the
+// failed engine moves all layer borders.
 TEST(PlacementTracker, BordersMoveOnlyOnceALossLasts)
 {
   CollectDueOrders(0);
