--- a/Tests/Platform/ConfigDocumentTest.cxx
+++ b/Tests/Platform/ConfigDocumentTest.cxx
@@ -1,9 +1,9 @@
-// Tests of the operator's configuration document.
+// Tests decoding of the operator's configuration document.
 #include <string>
 
 #include "ConfigDocument.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
--- a/Tests/Platform/ControlApiTest.cxx
+++ b/Tests/Platform/ControlApiTest.cxx
@@ -1,4 +1,4 @@
-// Tests of the calls of operators and runners.
+// Tests the HTTP calls of operators and runners.
 #include <optional>
 #include <string>
 
@@ -10,7 +10,7 @@
 #include "Support/FakeControl.h"
 #include "Support/MemorySink.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
@@ -71,7 +71,8 @@
     return Call(http::verb::put, "/parsleycove/instances/i-1", aBody)
       .result_int();
   }
-  // As another control VM would have taken its heartbeat.
+  // Adds runner i-1 to the replicated state, as a heartbeat to another control
+  // VM does.
   void Announce()
   {
     state::AnnounceEndpointT announce;
@@ -121,7 +122,7 @@
   const HttpResponse answer =
     Call(http::verb::put, "/parsleycove/config", "{\"version\":1");
   CHECK_EQUAL(400U, answer.result_int());
-  CHECK(answer.body().find("expected a whole JSON object") !=
+  CHECK(answer.body().find("expected a complete JSON object") !=
         std::string::npos);
   CHECK_EQUAL(503U, Call(http::verb::get, "/parsleycove/config").result_int());
 }
@@ -141,7 +142,7 @@
   CHECK_EQUAL(200U, SendHeartbeat(MakeHeartbeat("ready", 2)));
   CHECK_EQUAL(200U, SendHeartbeat(MakeHeartbeat("draining", 3)));
   CHECK(FindListed()->phase == state::EndpointPhase::Leaving);
-  // A late heartbeat does not bring it back.
+  // A late heartbeat does not make the runner ready again.
   CHECK_EQUAL(200U, SendHeartbeat(MakeHeartbeat("ready", 2)));
   CHECK(FindListed()->phase == state::EndpointPhase::Leaving);
 }
@@ -178,8 +179,9 @@
   CHECK(FindListed()->phase == state::EndpointPhase::Leaving);
 }
 
-// Load pattern: all control VMs were killed, and a runner leaves while the
-// first one that is back does not hold the state yet.
+// Guards against a leave that is acknowledged but not stored: all control VMs
+// crashed, and a runner leaves while the first control VM that has restarted
+// does not hold the state yet.
 TEST(ControlApi, ALeaveIsNotAcknowledgedByACopyThatMayBeOld)
 {
   m_control.SetConfirm([] { return false; });
--- a/Tests/Platform/DialectTest.cxx
+++ b/Tests/Platform/DialectTest.cxx
@@ -1,9 +1,9 @@
-// Tests of the platform's headers.
+// Tests the platform's headers and messages of forwarding.
 #include <string>
 
 #include "PlatformDialect.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
--- a/Tests/Platform/RunnerReportTest.cxx
+++ b/Tests/Platform/RunnerReportTest.cxx
@@ -1,9 +1,9 @@
-// Tests of what runners say of themselves.
+// Tests decoding of the reports of runners.
 #include <string>
 
 #include "RunnerReport.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
@@ -80,7 +80,7 @@
 
 TEST(RunnerReport, NamesWhatIsWrong)
 {
-  STRCMP_EQUAL("heartbeat: expected a whole JSON object",
+  STRCMP_EQUAL("heartbeat: expected a complete JSON object",
                ReadError("\x01\x02").c_str());
   STRCMP_EQUAL("heartbeat: \"state\": expected ready or draining",
                ReadError(Replace(kReport, "\"ready\"", "\"odd\"")).c_str());
