--- a/Source/Placement/EngineOrders.h
+++ b/Source/Placement/EngineOrders.h
@@ -1,4 +1,5 @@
-// Orders to engines, whoever carries them.
+// Interface through which the leader probes engines and orders them to hold
+// layers. The deployment provides the transport.
 #pragma once
 
 #include <cstdint>
@@ -11,34 +12,35 @@
 
 enum class OrderOutcome
 {
-  // Begun, done, or the engine holds the layers already.
-  Taken,
-  // It does not fit the engine's present state.
+  // The engine is loading the layers or holds them already.
+  Accepted,
+  // The order does not fit the current state of the engine.
   Refused,
-  // The engine has seen a higher fencing token: another leader gives orders.
+  // The engine has seen a higher fencing token: another leader sends orders.
   Fenced,
-  // Another endpoint has the address.
-  NotThere,
-  // May have been taken, or may be carried out later.
+  // No connection, or another endpoint has the address.
+  NotDelivered,
+  // The engine may have accepted the order, or may still carry it out.
   Unknown,
 };
 
-enum class EnginePresence
+enum class EngineProbeResult
 {
-  Answers,
-  // Nothing listens at its address.
-  Gone,
-  // No answer in time.
-  Silent,
+  Answered,
+  // No connection: nothing listens at the engine's address.
+  Unreachable,
+  // The engine did not answer in time, or the connection broke.
+  NoAnswer,
 };
 
 class EngineOrders
 {
 public:
   virtual ~EngineOrders() = default;
-  // Whether the engine answers a question that costs it nothing.
-  virtual asio::awaitable<EnginePresence> Ask(RunnerPtr aEngine) = 0;
-  // The engine is to hold exactly these layers. aFence grows with each leader.
+  // Sends the engine a request that costs it nothing.
+  virtual asio::awaitable<EngineProbeResult> Probe(RunnerPtr aEngine) = 0;
+  // Orders the engine to hold exactly the layers of aSpan. aFence is the
+  // leader's fencing token; each new leader has a higher one.
   virtual asio::awaitable<OrderOutcome> HoldLayers(RunnerPtr aEngine,
                                                    LayerSpan aSpan,
                                                    std::uint64_t aFence) = 0;
