--- a/Tests/Bench/Decision/DecisionBench.cxx
+++ b/Tests/Bench/Decision/DecisionBench.cxx
@@ -115,8 +115,8 @@
     request.m_id = ++id;
     request.m_account = accounts[random.Below(kAccounts)];
     request.m_deadline = now + std::chrono::seconds(60);
-    if (controller.Submit(now, request).m_verdict ==
-        AdmissionVerdict::Admitted) {
+    if (controller.Submit(now, request).m_status ==
+        AdmissionStatus::Admitted) {
       running.push_back(id);
     }
     if (aRun % 2 == 0 && !running.empty()) {
--- a/Tests/Bench/Decision/PipelineModel.cxx
+++ b/Tests/Bench/Decision/PipelineModel.cxx
@@ -180,11 +180,11 @@
     request.m_targets = { "answers", kFirstToken, kInterval, kCompletion, 950 };
     request.m_cost = kTokens;
     request.m_deadline = m_now + kCompletion;
-    const AdmissionAnswer answer =
+    const AdmissionDecision decision =
       m_gateways[stream.m_gateway].m_admission.Submit(m_now, request);
-    if (answer.m_verdict == AdmissionVerdict::Admitted) {
+    if (decision.m_status == AdmissionStatus::Admitted) {
       Begin(stream);
-    } else if (answer.m_verdict == AdmissionVerdict::Refused) {
+    } else if (decision.m_status == AdmissionStatus::Refused) {
       Refuse(id);
     }
   }
@@ -198,7 +198,7 @@
   void TakeReady(Gateway& aGateway)
   {
     const AdmissionBatch batch = aGateway.m_admission.TakeReady(m_now);
-    for (const AdmissionRefused& refused : batch.m_refused) {
+    for (const RefusedRequest& refused : batch.m_refused) {
       Refuse(refused.m_id);
     }
     for (const std::uint64_t id : batch.m_start) {
