--- a/Source/Gateway/Generation.cxx
+++ b/Source/Gateway/Generation.cxx
@@ -127,7 +127,7 @@
   request.m_prefixHash = HashId(m_request.m_prompt);
   request.m_deadline = m_deadline;
   request.m_targets = m_targets;
-  request.m_ownZone = m_services.m_options.m_zone;
+  request.m_gatewayZone = m_services.m_options.m_zone;
   return request;
 }
 
--- a/Source/Routing/PlacementPlanner.cxx
+++ b/Source/Routing/PlacementPlanner.cxx
@@ -11,16 +11,16 @@
 namespace {
 
 // Gains below this share of the target flow are not worth loading weights.
-constexpr double kLeastGainShare = 0.005;
+constexpr double kMinGainShare = 0.005;
 
 double
-RateOf(const PlacementRunner& aRunner, const LayerRange& aRange)
+TokensPerSecond(const PlacementRunner& aRunner, const LayerRange& aRange)
 {
   return aRunner.m_layerTokensPerSecond / aRange.Length();
 }
 
 std::vector<LayerRange>
-CutEvenly(std::uint32_t aLayers, std::uint32_t aStages)
+SplitEvenly(std::uint32_t aLayers, std::uint32_t aStages)
 {
   std::vector<LayerRange> ranges;
   std::uint32_t first = 0;
@@ -32,8 +32,8 @@
   return ranges;
 }
 
-// The runners of one lane and the stage that each takes.
-struct Lane
+// The runners of one pipeline and the stage that each takes.
+struct Pipeline
 {
   std::vector<LayerRange> m_ranges;
   std::vector<std::size_t> m_runners;
@@ -43,36 +43,37 @@
 };
 
 // Fills the least served stage with the fastest runner that is left.
-Lane
-FillLane(std::vector<LayerRange> aRanges,
-         const std::vector<PlacementRunner>& aRunners,
-         const std::vector<std::size_t>& aFree)
+Pipeline
+AssignPipeline(std::vector<LayerRange> aRanges,
+               const std::vector<PlacementRunner>& aRunners,
+               const std::vector<std::size_t>& aFree)
 {
-  Lane lane;
-  lane.m_ranges = std::move(aRanges);
+  Pipeline pipeline;
+  pipeline.m_ranges = std::move(aRanges);
   std::uint32_t longest = 0;
-  for (const LayerRange& range : lane.m_ranges) {
+  for (const LayerRange& range : pipeline.m_ranges) {
     longest = std::max(longest, range.Length());
   }
   for (const std::size_t index : aFree) {
     if (aRunners[index].m_memoryLayers >= longest) {
-      lane.m_runners.push_back(index);
+      pipeline.m_runners.push_back(index);
     }
   }
   const auto isFaster = [&](std::size_t aLeft, std::size_t aRight) {
     return aRunners[aLeft].m_layerTokensPerSecond >
            aRunners[aRight].m_layerTokensPerSecond;
   };
-  std::stable_sort(lane.m_runners.begin(), lane.m_runners.end(), isFaster);
-  std::vector<double> rates(lane.m_ranges.size(), 0.0);
-  for (const std::size_t index : lane.m_runners) {
+  std::stable_sort(
+    pipeline.m_runners.begin(), pipeline.m_runners.end(), isFaster);
+  std::vector<double> rates(pipeline.m_ranges.size(), 0.0);
+  for (const std::size_t index : pipeline.m_runners) {
     const auto least = std::min_element(rates.begin(), rates.end());
     const auto stage = static_cast<std::size_t>(least - rates.begin());
-    lane.m_stages.push_back(stage);
-    *least += RateOf(aRunners[index], lane.m_ranges[stage]);
+    pipeline.m_stages.push_back(stage);
+    *least += TokensPerSecond(aRunners[index], pipeline.m_ranges[stage]);
   }
-  lane.m_flow = *std::min_element(rates.begin(), rates.end());
-  return lane;
+  pipeline.m_flow = *std::min_element(rates.begin(), rates.end());
+  return pipeline;
 }
 
 } // namespace
@@ -83,10 +84,10 @@
 }
 
 PlacementPlanner::Score
-PlacementPlanner::Rate(std::uint32_t aLayers,
-                       const std::vector<PlacementRunner>& aRunners,
-                       const Assignment& aAssignment,
-                       double aTargetFlow)
+PlacementPlanner::ComputeScore(std::uint32_t aLayers,
+                               const std::vector<PlacementRunner>& aRunners,
+                               const Assignment& aAssignment,
+                               double aTargetFlow)
 {
   std::vector<StageRate> rates;
   std::vector<double> covered(aLayers, 0.0);
@@ -95,7 +96,7 @@
       continue;
     }
     const LayerRange& range = *aAssignment[i];
-    const double rate = RateOf(aRunners[i], range);
+    const double rate = TokensPerSecond(aRunners[i], range);
     rates.push_back({ range.m_firstLayer, range.m_lastLayer, rate, {} });
     for (std::uint32_t l = range.m_firstLayer; l <= range.m_lastLayer; ++l) {
       covered[l] += rate;
@@ -110,19 +111,20 @@
 }
 
 PlacementPlanner::Assignment
-PlacementPlanner::PlanFresh(std::uint32_t aLayers,
-                            const std::vector<PlacementRunner>& aRunners)
+PlacementPlanner::PlanFromScratch(std::uint32_t aLayers,
+                                  const std::vector<PlacementRunner>& aRunners)
 {
   Assignment assignment(aRunners.size());
   std::vector<std::size_t> free(aRunners.size());
   std::iota(free.begin(), free.end(), std::size_t{ 0 });
   while (!free.empty()) {
-    Lane best;
+    Pipeline best;
     for (std::uint32_t stages = 1; stages <= aLayers; ++stages) {
-      Lane lane = FillLane(CutEvenly(aLayers, stages), aRunners, free);
+      Pipeline pipeline =
+        AssignPipeline(SplitEvenly(aLayers, stages), aRunners, free);
       // Fewer stages are better when the flow is the same: fewer transfers.
-      if (lane.m_flow > best.m_flow * (1.0 + kLeastGainShare)) {
-        best = std::move(lane);
+      if (pipeline.m_flow > best.m_flow * (1.0 + kMinGainShare)) {
+        best = std::move(pipeline);
       }
     }
     if (best.m_flow <= 0) {
@@ -140,10 +142,10 @@
 }
 
 PlacementPlanner::Assignment
-PlacementPlanner::Repair(std::uint32_t aLayers,
-                         const std::vector<PlacementRunner>& aRunners,
-                         double aTargetFlow,
-                         std::vector<std::size_t>& aMoved) const
+PlacementPlanner::Rebalance(std::uint32_t aLayers,
+                            const std::vector<PlacementRunner>& aRunners,
+                            double aTargetFlow,
+                            std::vector<std::size_t>& aMoved) const
 {
   Assignment assignment;
   std::vector<LayerRange> ranges;
@@ -171,9 +173,9 @@
   for (std::size_t i = 0; i + 1 < boundaries.size(); ++i) {
     addRange({ boundaries[i], boundaries[i + 1] - 1 });
   }
-  Score score = Rate(aLayers, aRunners, assignment, aTargetFlow);
+  Score score = ComputeScore(aLayers, aRunners, assignment, aTargetFlow);
   while (aMoved.size() < m_settings.m_maxMoves &&
-         score.m_flow < m_settings.m_goodShare * aTargetFlow) {
+         score.m_flow < m_settings.m_minFlowShare * aTargetFlow) {
     Score bestScore = score;
     std::size_t bestRunner = aRunners.size();
     LayerRange bestRange;
@@ -185,8 +187,9 @@
           continue;
         }
         assignment[i] = range;
-        const Score next = Rate(aLayers, aRunners, assignment, aTargetFlow);
-        const double least = kLeastGainShare * aTargetFlow;
+        const Score next =
+          ComputeScore(aLayers, aRunners, assignment, aTargetFlow);
+        const double least = kMinGainShare * aTargetFlow;
         const bool better = next.m_flow > bestScore.m_flow + least ||
                             (next.m_flow >= bestScore.m_flow &&
                              next.m_coverage > bestScore.m_coverage + least);
@@ -216,13 +219,13 @@
   if (aLayers == 0) {
     return placement;
   }
-  const Assignment fresh = PlanFresh(aLayers, aRunners);
-  const double target = Rate(aLayers, aRunners, fresh, 0).m_flow;
+  const Assignment fromScratch = PlanFromScratch(aLayers, aRunners);
+  const double target = ComputeScore(aLayers, aRunners, fromScratch, 0).m_flow;
   std::vector<std::size_t> order;
-  Assignment chosen = Repair(aLayers, aRunners, target, order);
-  placement.m_flow = Rate(aLayers, aRunners, chosen, target).m_flow;
-  if (placement.m_flow < m_settings.m_goodShare * target) {
-    chosen = fresh;
+  Assignment chosen = Rebalance(aLayers, aRunners, target, order);
+  placement.m_flow = ComputeScore(aLayers, aRunners, chosen, target).m_flow;
+  if (placement.m_flow < m_settings.m_minFlowShare * target) {
+    chosen = fromScratch;
     placement.m_flow = target;
     order.resize(aRunners.size());
     std::iota(order.begin(), order.end(), std::size_t{ 0 });
--- a/Tests/Bench/Decision/PipelineModel.cxx
+++ b/Tests/Bench/Decision/PipelineModel.cxx
@@ -253,7 +253,7 @@
     request.m_promptTokens = aNeed.m_promptTokens;
     request.m_expectedTokens = aNeed.m_expectedTokens;
     request.m_excluded = aNeed.m_excluded;
-    request.m_ownZone = gateway.m_zone;
+    request.m_gatewayZone = gateway.m_zone;
     request.m_answeredSince = aNeed.m_answeredSince;
     auto chain = gateway.m_planner->Plan(m_now, *gateway.m_table, request);
     if (chain) {
@@ -266,8 +266,8 @@
   Duration LinkOf(std::size_t aGateway, std::size_t aRunner) const
   {
     const Gateway& gateway = m_gateways[aGateway];
-    return m_links.OneWay(gateway.m_zone,
-                          gateway.m_table->Runners()[aRunner]->m_zone);
+    return m_links.OneWayLatency(gateway.m_zone,
+                                 gateway.m_table->Runners()[aRunner]->m_zone);
   }
 
   void Send(Stream& aStream, const SendStep& aSend)
