--- a/Source/Gateway/Generation.cxx
+++ b/Source/Gateway/Generation.cxx
@@ -334,7 +334,7 @@
     return;
   }
   if (aEvent.m_outcome.m_reason.m_code == CallError::Silent) {
-    m_machine.OnStepSilent(now, aEvent.m_attempt, aEvent.m_stage);
+    m_machine.OnStepUnresponsive(now, aEvent.m_attempt, aEvent.m_stage);
   } else {
     m_machine.OnStepFailed(now, aEvent.m_attempt, aEvent.m_stage);
   }
--- a/Source/Routing/HedgePolicy.h
+++ b/Source/Routing/HedgePolicy.h
@@ -17,7 +17,7 @@
 public:
   explicit HedgePolicy(RetryBudget& aBudget);
 
-  void RecordAnswer(Duration aTaken);
+  void RecordAnswer(Duration aLatency);
   // When a hedge of a call sent at aSentAt is due; nothing: no hedge.
   std::optional<TimePoint> HedgeAt(TimePoint aSentAt,
                                    bool aIdempotent,
--- a/Tests/Bench/Decision/PipelineModel.cxx
+++ b/Tests/Bench/Decision/PipelineModel.cxx
@@ -12,7 +12,7 @@
 
 #include "Routing/AdmissionController.h"
 #include "Routing/FlowBound.h"
-#include "Routing/StreamMachine.h"
+#include "Routing/StreamStateMachine.h"
 
 namespace parsleycove {
 
@@ -55,7 +55,7 @@
   std::size_t m_gateway = 0;
   TimePoint m_sentAt;
   TimePoint m_firstTokenAt;
-  std::unique_ptr<StreamMachine> m_machine;
+  std::unique_ptr<StreamStateMachine> m_machine;
   bool m_hit = false;
   bool m_recovered = false;
 };
@@ -214,7 +214,7 @@
     };
     settings.m_deadline = aStream.m_sentAt + 2 * kCompletion;
     settings.m_maxTokens = kTokens;
-    aStream.m_machine = std::make_unique<StreamMachine>(
+    aStream.m_machine = std::make_unique<StreamStateMachine>(
       settings, &m_gateways[aStream.m_gateway].m_budget);
     aStream.m_machine->OnTokenized(
       m_now, std::vector<std::uint32_t>(kPromptTokens, 1));
--- a/Tests/Routing/StreamBench.h
+++ b/Tests/Routing/StreamSimulation.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "Routing/StreamMachine.h"
+#include "Routing/StreamStateMachine.h"
 #include "Routing/TestCluster.h"
 #include "Routing/ToyModel.h"
 
@@ -40,12 +40,12 @@
   StreamFault m_fault = StreamFault::None;
 };
 
-class StreamBench
+class StreamSimulation
 {
 public:
-  StreamBench(std::uint32_t aMaxTokens,
-              std::uint32_t aPrefillChunk,
-              std::vector<PlannedFault> aFaults);
+  StreamSimulation(std::uint32_t aMaxTokens,
+                   std::uint32_t aPrefillChunk,
+                   std::vector<PlannedFault> aFaults);
 
   void Run();
 
@@ -78,9 +78,9 @@
 
   boost::intrusive_ptr<const RunnerTable> m_table;
   std::map<std::string, ToyEngine> m_engines;
-  std::map<std::string, bool> m_dead;
+  std::map<std::string, bool> m_failed;
   std::vector<PlannedFault> m_faults;
-  std::unique_ptr<StreamMachine> m_machine;
+  std::unique_ptr<StreamStateMachine> m_machine;
   TimePoint m_now = kTestStart;
   std::multimap<TimePoint, Event> m_events;
   bool m_slow = false;
