--- a/Source/Routing/AccountQueue.h
+++ b/Source/Routing/AccountQueue.h
@@ -1,4 +1,5 @@
-// What one client account has had and is waiting for.
+// Waiting requests of one client account at one resource, and the account's
+// virtual time for fair queueing.
 #pragma once
 
 #include <boost/intrusive/set.hpp>
@@ -7,12 +8,12 @@
 
 namespace parsleycove {
 
-// Invariant: linked into the queue's order of accounts exactly while
+// Invariant: linked into the queue's set of accounts exactly while
 // m_waiting is not empty; m_virtualTime does not change while linked.
 class AccountQueue : public boost::intrusive::set_base_hook<>
 {
 public:
-  // Cost started so far, on the clock that all accounts share.
+  // Cost started so far, on the virtual clock that all accounts share.
   double m_virtualTime = 0;
   double m_waitingCost = 0;
   RequestsByDeadline m_waiting;
--- a/Source/Routing/AdmissionController.cxx
+++ b/Source/Routing/AdmissionController.cxx
@@ -1,4 +1,6 @@
-// Decides which requests start now, wait, or are refused at once.
+// Decides which requests start now, which wait and which are refused at once.
+// Under overload this keeps the number of answers in time near the capacity and
+// stops one client account from starving the others.
 #include "Routing/AdmissionController.h"
 
 #include <algorithm>
--- a/Source/Routing/AdmissionController.h
+++ b/Source/Routing/AdmissionController.h
@@ -1,4 +1,6 @@
-// Decides which requests start now, wait, or are refused at once.
+// Decides which requests start now, which wait and which are refused at once.
+// Under overload this keeps the number of answers in time near the capacity and
+// stops one client account from starving the others.
 #pragma once
 
 #include <cstdint>
@@ -26,11 +28,12 @@
 enum class AdmissionRefusal
 {
   None,
-  // It would not be answered before its deadline.
+  // The request would not be answered before its deadline.
   WouldMissDeadline,
-  // The account's own waiting requests use up its share until the deadline.
+  // The account's waiting requests already use up its fair share of the
+  // capacity until the deadline.
   AccountShareExceeded,
-  // Nothing serves the model or service at present.
+  // No runner serves the model or service at present.
   NoCapacity,
 };
 
@@ -38,10 +41,11 @@
 {
   std::uint64_t m_id = 0;
   std::string m_account;
-  // Model or service: requests of one resource share a capacity.
+  // Name of a model or service; requests for the same resource share its
+  // capacity.
   std::string m_resource;
   ClassTargets m_targets;
-  // Tokens of work; 1 for a plain call.
+  // Work in tokens; 1 for a call to a plain service.
   double m_cost = 1;
   TimePoint m_deadline;
 };
@@ -50,7 +54,7 @@
 {
   AdmissionStatus m_status = AdmissionStatus::Admitted;
   AdmissionRefusal m_refusal = AdmissionRefusal::None;
-  // When the same request would have a chance, for a refused one.
+  // For a refused request: the time after which a retry may be admitted.
   Duration m_retryAfter{};
 };
 
@@ -61,7 +65,7 @@
   Duration m_retryAfter{};
 };
 
-// Requests that left the queue.
+// Requests that left the queue, either started or refused.
 struct AdmissionBatch
 {
   std::vector<std::uint64_t> m_start;
@@ -71,15 +75,15 @@
 struct AdmissionOutcome
 {
   bool m_inTime = true;
-  // Tokens that were really produced.
+  // Number of tokens that were produced.
   double m_tokens = 0;
 };
 
-// One thread's share of the admission decisions.
+// Admission control of one thread.
 //
-// Earliest deadline first among the accounts that are near the least served
-// one; an account far ahead of the others waits. A refusal is given as soon as
-// it is certain and is never taken back.
+// Among the accounts whose virtual time is near the lowest one, the request
+// with the earliest deadline starts first; accounts further ahead wait. A
+// refusal is given as soon as it is certain and is never revoked.
 class AdmissionController
 {
 public:
@@ -93,19 +97,23 @@
                    std::string_view aResource,
                    double aCostPerSecond);
   AdmissionDecision Submit(TimePoint aNow, const AdmissionRequest& aRequest);
-  // Says which waiting requests start now and which are refused now.
+  // Removes the waiting requests that start or are refused now, and returns
+  // them.
   AdmissionBatch TakeReady(TimePoint aNow);
-  // Ends an admitted request. Unknown ids are ignored.
+  // Ends an admitted request and frees its cost. Unknown ids are ignored.
   void Finish(TimePoint aNow,
               std::uint64_t aId,
               const AdmissionOutcome& aOutcome);
-  // Takes back a request whose caller has gone, waiting or admitted.
+  // Removes a request whose caller has disconnected, whether waiting or
+  // admitted.
   void Withdraw(TimePoint aNow, std::uint64_t aId);
-  // When TakeReady is due at the latest; max when nothing waits.
+  // Returns the latest time at which TakeReady is due, or TimePoint::max() if
+  // no request waits.
   TimePoint NextDeadline() const;
 
   std::size_t Waiting() const;
-  // Cost admitted and not finished, and its present limit, for metrics.
+  // Cost admitted and not yet finished, and the present limit of that cost; for
+  // metrics.
   double Outstanding(std::string_view aResource) const;
   double Limit(std::string_view aResource) const;
 
--- a/Source/Routing/AdmissionQueue.cxx
+++ b/Source/Routing/AdmissionQueue.cxx
@@ -1,4 +1,6 @@
-// The admission of requests to one resource.
+// Admission queue of one resource: fair queueing among client accounts,
+// earliest deadline first among accounts that were served about equally, and
+// early refusal of requests that cannot meet their deadline.
 #include "Routing/AdmissionQueue.h"
 
 #include <algorithm>
@@ -7,11 +9,13 @@
 
 namespace {
 
-// Share of the time before the latest start that may be planned as waiting.
+// A request is queued only if its expected wait is at most this share of the
+// longest acceptable wait.
 constexpr double kMaxPlannedWaitShare = 0.8;
-// Share of the time to the first token that may be spent waiting.
+// Share of the class's first-token target that may be spent waiting.
 constexpr double kMaxFirstTokenWaitShare = 0.7;
-// Accounts this many requests ahead of the least served still compete.
+// An account may compete by deadline while its virtual time leads the lowest
+// one by at most this many requests of the largest cost seen.
 constexpr double kMaxVirtualTimeLead = 2.0;
 constexpr std::size_t kMaxCandidateAccounts = 32;
 constexpr Duration kNoCapacityRetry = std::chrono::seconds(1);
@@ -52,7 +56,8 @@
 AdmissionQueue::FindOrAddClass(TimePoint aNow, const AdmissionRequest& aRequest)
 {
   const ClassTargets& targets = aRequest.m_targets;
-  // A class without a target of its own is bound by its requests' deadlines.
+  // A class without a completion target is bound by the deadlines of its
+  // requests.
   const Duration completion = targets.m_completion > Duration::zero()
                                 ? targets.m_completion
                                 : aRequest.m_deadline - aNow;
@@ -99,7 +104,8 @@
                              double aCost,
                              Duration aBudget) const
 {
-  // Of a longer class only the part that is due before this request.
+  // Of a class with a longer completion target, only the share of the waiting
+  // cost that is due before this request counts.
   double costAhead = 0;
   for (const ClassBacklog& queue : m_classes) {
     const double share = queue.m_completion > aBudget
@@ -107,7 +113,8 @@
                            : 1.0;
     costAhead += queue.m_waitingCost * share;
   }
-  // With fair shares, no other account is served more than this one before.
+  // Under fair queueing, no other account is served more than this account
+  // before this request starts.
   const double accounts = static_cast<double>(m_backloggedAccounts.size()) +
                           (aAccount.is_linked() ? 0.0 : 1.0);
   const double fairShareCost = (aAccount.m_waitingCost + aCost) * accounts;
@@ -143,7 +150,8 @@
   m_capacity.UpdateTightestTarget(m_classes[classIndex].m_completion);
   m_largestCost = std::max(m_largestCost, aRequest.m_cost);
   if (m_waiting.empty() && HasCapacityFor(aRequest.m_cost)) {
-    // Without contention nobody earns credit by staying away.
+    // Without contention, the system virtual time follows the started request,
+    // so that idle accounts earn no credit.
     m_systemVirtualTime = std::max(m_systemVirtualTime, account.m_virtualTime);
     Start(aNow, aRequest.m_id, account, aRequest.m_cost, classIndex);
     return { AdmissionStatus::Admitted, AdmissionRefusal::None, {} };
--- a/Source/Routing/AdmissionQueue.h
+++ b/Source/Routing/AdmissionQueue.h
@@ -1,4 +1,6 @@
-// The admission of requests to one resource.
+// Admission queue of one resource: fair queueing among client accounts,
+// earliest deadline first among accounts that were served about equally, and
+// early refusal of requests that cannot meet their deadline.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +24,7 @@
 
   void SetCapacity(TimePoint aNow, double aCostPerSecond);
   AdmissionDecision Submit(TimePoint aNow, const AdmissionRequest& aRequest);
-  // Appends to aBatch what leaves the queue now.
+  // Appends to aBatch the requests that start or are refused now.
   void TakeReady(TimePoint aNow, AdmissionBatch& aBatch);
   void Finish(TimePoint aNow,
               std::uint64_t aId,
@@ -42,7 +44,7 @@
     Duration m_completion{};
     double m_allowedLateShare = 0;
   };
-  // Waiting cost of one class.
+  // Total cost of the waiting requests of one class of work.
   struct ClassBacklog
   {
     std::string m_name;
@@ -56,11 +58,14 @@
   bool HasCapacityFor(double aCost) const;
   AdmissionDecision Refuse(AdmissionRefusal aRefusal,
                            Duration aRetryAfter) const;
-  // Expected waiting time behind earlier deadlines and within a fair share.
+  // Returns the expected wait of a new request of cost aCost that is due within
+  // aBudget: the time to serve all cost that is due earlier, or the account's
+  // fair share if that is shorter.
   Duration ExpectedWait(const AccountQueue& aAccount,
                         double aCost,
                         Duration aBudget) const;
-  // Time after which a start would most likely miss a target.
+  // Returns the longest wait after which a start is still likely to meet the
+  // request's targets.
   Duration MaxWait(TimePoint aNow, const AdmissionRequest& aRequest) const;
   void Enqueue(TimePoint aNow,
                const AdmissionRequest& aRequest,
@@ -71,10 +76,11 @@
              AccountQueue& aAccount,
              double aCost,
              std::size_t aClass);
-  // Returns the request to start next; something must wait.
+  // Returns the request to start next. At least one request must wait.
   WaitingRequest& ChooseNext();
   void Unlink(WaitingRequest& aRequest);
-  // Nothing serves the resource any more.
+  // Refuses all waiting requests because no runner serves the resource any
+  // more.
   void RefuseAll(AdmissionBatch& aBatch);
   void RefuseOverdue(TimePoint aNow, AdmissionBatch& aBatch);
 
@@ -83,14 +89,15 @@
   std::unordered_map<std::string, AccountQueue> m_accounts;
   std::unordered_map<std::uint64_t, WaitingRequest> m_requests;
   std::unordered_map<std::uint64_t, StartedRequest> m_started;
-  // The accounts with waiting requests, least served first.
+  // Accounts with waiting requests; the one with the lowest virtual time comes
+  // first.
   AccountsByVirtualTime m_backloggedAccounts;
   RequestsByLatestStart m_waiting;
   double m_waitingCost = 0;
   double m_outstandingCost = 0;
   double m_largestCost = 0;
-  // Virtual time of the least served account; an account that comes back
-  // from idleness starts here, without credit for its absence.
+  // Virtual time of the account that was served least. An account that returns
+  // from idleness starts at this virtual time, so idle time earns no credit.
   double m_systemVirtualTime = 0;
 };
 
--- a/Source/Routing/CapacityEstimate.cxx
+++ b/Source/Routing/CapacityEstimate.cxx
@@ -1,4 +1,5 @@
-// Estimates how much work a resource carries while its targets are met.
+// Estimates how much work a resource can carry while the targets of its classes
+// are met.
 #include "Routing/CapacityEstimate.h"
 
 #include <algorithm>
@@ -8,20 +9,23 @@
 
 namespace {
 
-// Before anything was measured, work may take this share of its target.
+// Before the first measurement, the limit lets requests take this share of the
+// tightest completion target.
 constexpr double kInitialLimitShare = 0.25;
 constexpr double kMaxLimitSeconds = 30.0;
 constexpr double kMovingAverageWeight = 0.1;
 constexpr double kServiceTimeDeviations = 2.0;
 constexpr double kIncreaseShare = 0.05;
-// Until the limit was first found too high.
+// Replaces kIncreaseShare until the limit was first found too high.
 constexpr double kInitialIncreaseShare = 0.5;
 constexpr double kMinDecreaseShare = 0.1;
 constexpr double kMaxDecreaseShare = 0.5;
 constexpr double kMaxSlowdownToIncrease = 1.25;
 constexpr double kMinSlowdownToDecrease = 1.5;
-// Share of answers that take most of the time between the unloaded one and
-// their class's target.
+// A request counts as slow if its service took more than kSlowThresholdShare of
+// the way from the unloaded service time to its class's completion target. The
+// limit may grow while the share of slow requests is at most
+// kMaxSlowShareToIncrease, and shrinks above kMinSlowShareToDecrease.
 constexpr double kMaxSlowShareToIncrease = 0.01;
 constexpr double kMinSlowShareToDecrease = 0.05;
 constexpr double kSlowThresholdShare = 0.6;
@@ -116,8 +120,8 @@
     std::min(m_unloadedSecondsPerCost * aCost, completion);
   const double most = unloaded + kSlowThresholdShare * (completion - unloaded);
   if (ToSeconds(aWork.m_serviceTime) <= most) {
-    // If it is late all the same, it waited too long before it was started;
-    // a lower limit would make that worse.
+    // A late answer with a short service time waited too long before its start;
+    // a lower limit would lengthen that wait.
     return;
   }
   ++m_slowCount;
@@ -144,7 +148,7 @@
 CapacityEstimate::AdaptRate(double aSeconds)
 {
   const double measured = m_servedCost / aSeconds;
-  // Without saturation the demand was measured, not the capacity.
+  // Without saturation the window measured the demand, not the capacity.
   if (m_saturated || measured > m_rate) {
     m_rate += kRateAverageWeight * (measured - m_rate);
   }
@@ -157,8 +161,9 @@
   if (m_unloadedSecondsPerCost == 0) {
     m_unloadedSecondsPerCost = perCost;
   }
-  // What an unloaded resource of this capacity holds at a time. At a limit
-  // this low, and without saturation, the time seen is the unloaded one.
+  // The right-hand side is the cost that an unloaded resource of this capacity
+  // has outstanding. At such a low limit, or without saturation, the measured
+  // service time is the unloaded one.
   const bool unloaded =
     !m_saturated ||
     m_limit <= m_configuredRate * m_unloadedSecondsPerCost * m_meanCost;
@@ -176,7 +181,8 @@
   const double slowShare = static_cast<double>(m_slowCount) / m_finishedCount;
   const double slowdown = m_secondsPerCost / m_unloadedSecondsPerCost;
   if (aNow < m_cooldownUntil) {
-    // What ends now was started under the limit before the last decrease.
+    // The requests that end now were started under the limit before the last
+    // decrease.
     return;
   }
   if (lateShare > m_allowedLateSum / m_finishedCount / 2.0) {
--- a/Source/Routing/CapacityEstimate.h
+++ b/Source/Routing/CapacityEstimate.h
@@ -1,4 +1,5 @@
-// Estimates how much work a resource carries while its targets are met.
+// Estimates how much work a resource can carry while the targets of its classes
+// are met.
 #pragma once
 
 #include <cstdint>
@@ -7,39 +8,42 @@
 
 namespace parsleycove {
 
-// A finished request, as the estimate learns from it.
+// A finished request, from which the estimate learns.
 struct FinishedWork
 {
   double m_cost = 0;
   Duration m_serviceTime{};
-  // The class's target for the whole answer.
+  // The class's target for the time to the complete answer.
   Duration m_completion{};
   bool m_inTime = true;
-  // Share of late answers that the class's target allows.
+  // Share of late answers that the class's success target allows.
   double m_allowedLateShare = 0.05;
 };
 
-// Bounds the outstanding cost. The bound grows by a step while it is reached
-// and work takes little longer than on an unloaded resource, shrinks slowly
-// once work takes twice as long or most of its class's time, and shrinks at
-// once by the share of late answers when more are late than targets allow.
+// Limits the outstanding cost of a resource. The limit grows by a step while
+// requests have to wait for it and service takes little longer than on an
+// unloaded resource. It shrinks by a small step once the service time is 1.5
+// times the unloaded one, or once too many requests use most of their class's
+// completion time. It shrinks at once by the share of late answers when that
+// share exceeds half of what the targets allow.
 class CapacityEstimate
 {
 public:
-  // Sets the capacity that follows from the runners' rates.
+  // Sets the capacity that follows from the runners' rates, in cost per second.
   void Configure(TimePoint aNow, double aCostPerSecond);
-  // Tells a class's target; the tightest sets the limit to begin with.
+  // Takes account of a class's completion target. The tightest target sets the
+  // limit until the first measurement.
   void UpdateTightestTarget(Duration aCompletion);
   bool IsConfigured() const { return m_configuredRate > 0; }
 
   // Cost that may be outstanding at once.
   double Limit() const { return m_limit; }
-  // Cost served in a second.
+  // Cost served per second.
   double Rate() const { return m_rate; }
-  // Time that a request of this cost takes with little chance of more.
+  // Returns a service time that a request of cost aCost is unlikely to exceed.
   Duration ServiceTime(double aCost) const;
 
-  // Tells that work had to wait because of the limit.
+  // Records that a request had to wait because of the limit.
   void MarkSaturated() { m_saturated = true; }
   void RecordFinished(TimePoint aNow, const FinishedWork& aWork);
 
@@ -55,19 +59,20 @@
   double m_configuredRate = 0;
   double m_limit = 0;
   double m_rate = 0;
-  // Seconds for each unit of cost: mean, mean deviation, and the mean of an
-  // unloaded resource.
+  // Service time in seconds per unit of cost: mean, mean deviation, and mean on
+  // an unloaded resource.
   double m_secondsPerCost = 0;
   double m_secondsPerCostDeviation = 0;
   double m_unloadedSecondsPerCost = 0;
   double m_meanCost = 1;
   Duration m_tightestTarget = std::chrono::seconds(10);
-  // The limit was found too high at least once.
+  // True once the limit was found too high.
   bool m_hasDecreased = false;
-  // No further change of the limit before work that was started under it ends.
+  // The limit stays unchanged until this time, when the requests started under
+  // the previous limit have ended.
   TimePoint m_cooldownUntil;
 
-  // The present window.
+  // Counts and sums of the current measuring window.
   TimePoint m_windowStart;
   std::uint32_t m_finishedCount = 0;
   std::uint32_t m_lateCount = 0;
--- a/Source/Routing/Chain.h
+++ b/Source/Routing/Chain.h
@@ -1,4 +1,4 @@
-// A chain of runners that covers a model once, in order.
+// A chain of runners that covers each layer of a model once, in order.
 #pragma once
 
 #include <cstdint>
@@ -19,39 +19,41 @@
   std::uint32_t m_firstLayer = 0;
   // Inclusive.
   std::uint32_t m_lastLayer = 0;
-  // What the planner expects a step of one token to take; zero: not known.
+  // Expected time of a decode step of one token; zero if not known.
   Duration m_expectedStep{};
 };
 
-// Invariant: the first stage begins at layer 0, each next one begins one
-// layer after the end of the one before, the last one ends the model.
+// Invariant: the first stage begins at layer 0, each later stage begins at the
+// layer after the end of the previous stage, and the last stage ends at the
+// model's last layer.
 struct Chain
 {
   static constexpr std::size_t kInlineStages = 12;
 
   boost::container::small_vector<ChainStage, kInlineStages> m_stages;
-  // What the planner expects; a hint for time-outs and admission.
+  // Estimates of the planner, as hints for timeouts and admission.
   Duration m_expectedFirstToken{};
   Duration m_expectedInterval{};
 };
 
-// What a chain is asked for.
+// A request for a chain.
 struct ChainRequest
 {
   std::string m_model;
-  // Empty: the configured version.
+  // An empty version stands for the configured version.
   std::string m_version;
   std::uint32_t m_promptTokens = 1;
   std::uint32_t m_expectedTokens = 1;
-  // Zero: no affinity.
+  // Zero means no prefix affinity.
   std::uint64_t m_prefixHash = 0;
   TimePoint m_deadline = TimePoint::max();
   ClassTargets m_targets;
   // Endpoint ids that must not be part of the chain.
   std::vector<std::string> m_excluded;
   std::string m_gatewayZone;
-  // After a silent stage: runners that answered since then come first, for
-  // others may have fallen silent with it. The epoch: no such wish.
+  // Set after a stage did not answer in time: runners that answered since this
+  // time are preferred, because other runners may have failed together with
+  // that stage. The epoch means no preference.
   TimePoint m_answeredSince;
 };
 
--- a/Source/Routing/ChainPlanner.cxx
+++ b/Source/Routing/ChainPlanner.cxx
@@ -1,4 +1,4 @@
-// Choice of a chain of runners for one generation.
+// Interface of the planners that choose a chain of runners for one generation.
 #include "Routing/ChainPlanner.h"
 
 namespace parsleycove {
--- a/Source/Routing/ChainReservation.cxx
+++ b/Source/Routing/ChainReservation.cxx
@@ -1,4 +1,5 @@
-// A chain in use by one generation, counted in the load of its runners.
+// Reservation of a chain for one generation, counted in the load of its
+// runners.
 #include "Routing/ChainReservation.h"
 
 #include <utility>
--- a/Source/Routing/ChainReservation.h
+++ b/Source/Routing/ChainReservation.h
@@ -1,4 +1,5 @@
-// A chain in use by one generation, counted in the load of its runners.
+// Reservation of a chain for one generation, counted in the load of its
+// runners.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +11,7 @@
 
 namespace parsleycove {
 
-// The step that a stage was sent and has not answered.
+// A step that was sent to a stage and has not been answered.
 struct OutstandingStep
 {
   std::size_t m_stage = 0;
@@ -20,8 +21,9 @@
   TimePoint m_timeoutAt;
 };
 
-// Invariant: each runner of the chain counts one stream and the outstanding
-// step until they are released, on every way out.
+// Invariant: each runner of the chain counts one stream, and the runner of the
+// outstanding step counts that step, until the reservation is released or
+// destroyed.
 class ChainReservation
 {
 public:
@@ -35,10 +37,11 @@
   std::size_t StageCount() const { return m_chain.m_stages.size(); }
   const RunnerPtr& RunnerAt(std::size_t aStage) const;
 
-  // At most one step is outstanding.
+  // Counts aStep in its runner's load. At most one step is outstanding.
   void StartStep(const OutstandingStep& aStep);
   const std::optional<OutstandingStep>& Step() const { return m_step; }
-  // Ends the outstanding step with a good answer.
+  // Ends the outstanding step after a successful answer and records its
+  // duration.
   void FinishStep(TimePoint aNow);
 
 private:
--- a/Source/Routing/ClassTargets.h
+++ b/Source/Routing/ClassTargets.h
@@ -1,4 +1,4 @@
-// The targets of a class of work, as the deciding code uses them.
+// Targets of a class of work, in the form that admission and planning use.
 #pragma once
 
 #include <cstdint>
--- a/Source/Routing/ExpectedCompletionPlanner.cxx
+++ b/Source/Routing/ExpectedCompletionPlanner.cxx
@@ -12,9 +12,10 @@
 constexpr double kUnreachable = std::numeric_limits<double>::infinity();
 constexpr double kNsPerSecond = 1e9;
 constexpr double kDefaultTokensPerSecond = 100.0;
-// Prompt positions are computed in parallel, tokens one by one.
+// Prefill computes the prompt's positions in parallel; decoding computes tokens
+// one by one.
 constexpr double kPrefillSpeedup = 8.0;
-// Time of a step on an empty runner, as a share of that of a full batch.
+// Duration of a step on an empty runner as a share of that with a full batch.
 constexpr double kEmptyStepShare = 0.5;
 
 double
@@ -44,13 +45,13 @@
   }
   if (aNow >= aRequest.m_deadline) {
     m_reason.Set(ChainError::DeadlinePassed,
-                 "deadline: expected a time to come");
+                 "deadline: expected to be in the future");
     return std::nullopt;
   }
   PrepareLinks(aTable, aRequest.m_gatewayZone);
   PrepareExcluded(aRequest);
   m_linkWeight = std::max(1U, aRequest.m_expectedTokens);
-  // Doubtful runners are taken only when no chain exists without them.
+  // Suspected runners are used only if no chain exists without them.
   for (const RunnerFilter filter : { RunnerFilter::AnsweredSince,
                                      RunnerFilter::Unsuspected,
                                      RunnerFilter::Any }) {
@@ -158,7 +159,7 @@
                                                     : kDefaultTokensPerSecond;
   const double perToken = kNsPerSecond / rate;
   const double slots = std::max(1U, aRunner.m_slots);
-  // A runner that batches serves up to its slots side by side; a fuller batch
+  // A batching runner serves up to m_slots streams at once. A fuller batch
   // takes longer, and streams beyond the slots wait for another round.
   const double streams = load.EstimateStreams(aNow) + 1.0;
   const double filled = streams / slots;
@@ -186,8 +187,8 @@
                                                const RangeGroup& aGroup,
                                                const ChainRequest& aRequest)
 {
-  // Rendezvous hashing: every gateway prefers the same runner for a prefix,
-  // and a vanished runner moves only its own prefixes.
+  // Rendezvous hashing: every gateway prefers the same runner for a prefix, and
+  // the removal of a runner moves only the prefixes that preferred it.
   double loads = 0;
   double usable = 0;
   std::optional<std::size_t> preferred;
@@ -252,7 +253,8 @@
 {
   m_leastCosts.assign((aLayers + 1) * m_zones, kUnreachable);
   std::fill_n(m_leastCosts.begin(), m_zones, 0.0);
-  // Groups are sorted by first layer, so each boundary is final when used.
+  // Groups are sorted by first layer, so the cost of each boundary is final
+  // before it is used.
   for (const RangeGroup& group : aSet.m_groups) {
     for (std::size_t i = group.m_begin; i < group.m_end; ++i) {
       if (!m_costs[i].m_usable) {
--- a/Source/Routing/ExpectedCompletionPlanner.h
+++ b/Source/Routing/ExpectedCompletionPlanner.h
@@ -14,19 +14,22 @@
 {
   ChainTransport m_transport = ChainTransport::Relayed;
   LinkCosts m_links;
-  // Runners whose path costs at most this share more than the best one are
-  // near-equal; among them the choice is random.
+  // Runners are near-equal if their path costs more than the best path by at
+  // most this share of the best runner's stage cost. The choice among
+  // near-equal runners is random, so that gateways with the same reports do not
+  // all choose the same runner.
   double m_nearEqualShare = 0.15;
-  // Share of the prompt that a runner preferred by prefix is taken to hold.
+  // Assumed share of the prompt that is cached by the runner preferred for the
+  // prefix.
   double m_cachedPrefixShare = 0.5;
-  // A preferred runner keeps its preference up to this multiple of the mean
-  // load of its group.
+  // A runner keeps its preference while its load is at most this multiple of
+  // the mean load of its group.
   double m_prefixLoadBound = 1.25;
 };
 
-// Shortest path over the boundaries between layers. A path's cost is the
-// expected time to its last token: queue, transfer and service of each stage,
-// for the prompt and for each token to come.
+// Finds a shortest path over the boundaries between layers. The cost of a path
+// is the expected time to its last token: queueing, transfer and service in
+// each stage, for the prompt and for each following token.
 class ExpectedCompletionPlanner final : public ChainPlanner
 {
 public:
@@ -37,7 +40,7 @@
                             const ChainRequest& aRequest) override;
 
 private:
-  // What one runner would add to a path, in nanoseconds.
+  // Cost that one runner adds to a path, in nanoseconds.
   struct StageCost
   {
     double m_prefill = 0;
@@ -47,10 +50,10 @@
     bool m_usable = false;
   };
 
-  // Which runners a pass takes.
+  // The runners that a planning pass may use.
   enum class RunnerFilter
   {
-    // Those that answered since the time that the request asks for.
+    // Runners that answered since ChainRequest::m_answeredSince.
     AnsweredSince,
     Unsuspected,
     Any,
@@ -72,9 +75,10 @@
   void ApplyPrefixAffinity(const RunnerSet& aSet,
                            const RangeGroup& aGroup,
                            const ChainRequest& aRequest);
-  // Fills m_leastCosts; false when the model's end was not reached.
+  // Fills m_leastCosts. Returns false if no path reaches the model's end.
   bool ComputeLeastCosts(const RunnerSet& aSet, std::uint32_t aLayers);
-  // Least cost of a path that ends where aRunner begins, with the transfer.
+  // Returns the least cost of a path that ends where aRunner begins, including
+  // the transfer to aRunner.
   double CostToReach(const Runner& aRunner) const;
   std::optional<std::size_t> ChooseRunnerEndingAt(const RunnerSet& aSet,
                                                   std::uint32_t aBoundary,
@@ -88,18 +92,19 @@
 
   const PlannerSettings m_settings;
   Random m_random;
-  // Scratch space, kept to save allocations.
+  // Buffers that are reused to save allocations.
   std::vector<double> m_leastCosts; // by boundary and zone
   std::vector<StageCost> m_costs;
   std::vector<std::size_t> m_nearEquals;
   std::vector<std::uint64_t> m_excluded;
-  // One-way times between zones, for the table they were computed from.
+  // One-way times in nanoseconds between zones, computed for m_linkZones and
+  // m_linkGatewayZone.
   std::vector<double> m_links;
   std::vector<double> m_gatewayLinks;
   std::vector<std::string> m_linkZones;
   std::string m_linkGatewayZone;
   std::size_t m_zones = 0;
-  // How often a link is crossed: once for each token.
+  // Number of times that a link is crossed: once for each token.
   double m_linkWeight = 1;
 };
 
--- a/Source/Routing/FlowBound.cxx
+++ b/Source/Routing/FlowBound.cxx
@@ -1,4 +1,5 @@
-// The throughput that no routing can exceed.
+// Upper bound of the throughput that any routing over a set of runners can
+// reach.
 #include "Routing/FlowBound.h"
 
 #include <algorithm>
@@ -25,8 +26,9 @@
   return zones;
 }
 
-// The network of one model: at each boundary between layers every zone has a
-// node for tokens that leave a stage and one for tokens that enter the next.
+// Node numbers of the flow network of one model. At each boundary between
+// layers, every zone has a node for tokens that leave a stage and a node for
+// tokens that enter the next stage.
 class BoundaryNodes
 {
 public:
@@ -62,8 +64,9 @@
   std::uint32_t m_layers;
 };
 
-// All boundaries share what a pair of zones carries. A flow network has no
-// edge for that, so each boundary gets it in full; the result stays a bound.
+// Returns the capacity of the links from aFrom to aTo. All boundaries share
+// this capacity, but a flow network has no edge for that, so each boundary gets
+// the full capacity; the result remains an upper bound.
 double
 LinkCapacity(const std::vector<ZoneLink>& aLinks,
              const std::string& aFrom,
--- a/Source/Routing/FlowBound.h
+++ b/Source/Routing/FlowBound.h
@@ -1,4 +1,5 @@
-// The throughput that no routing can exceed.
+// Upper bound of the throughput that any routing over a set of runners can
+// reach.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,7 @@
 
 class RunnerTable;
 
-// A runner as the bound sees it.
+// Layers, rate and zone of one runner.
 struct StageRate
 {
   std::uint32_t m_firstLayer = 0;
@@ -19,7 +20,8 @@
   std::string m_zone;
 };
 
-// What the links between two zones carry, in tokens a second, one way.
+// Capacity of the links from one zone to another, one way, in tokens per
+// second.
 struct ZoneLink
 {
   std::string m_from;
@@ -27,16 +29,16 @@
   double m_tokensPerSecond = 0;
 };
 
-// Returns the maximum flow of tokens a second through runners whose ranges
-// abut. Zone pairs that aLinks doesn't list are not limited; an empty list
-// limits no link.
+// Returns the maximum flow, in tokens per second, through runners whose layer
+// ranges abut. Zone pairs that aLinks does not list are unlimited; an empty
+// list limits no link.
 double
 ComputeFlowBound(std::uint32_t aLayers,
                  const std::vector<StageRate>& aRunners,
                  const std::vector<ZoneLink>& aLinks);
 
-// The same over the Ready runners of a model's version; an empty version is
-// the configured one.
+// Returns the maximum flow through the Ready runners of a model's version,
+// without limits on links. An empty aVersion stands for the configured version.
 double
 ComputeFlowBound(const RunnerTable& aTable,
                  const std::string& aModel,
--- a/Source/Routing/FlowNetwork.cxx
+++ b/Source/Routing/FlowNetwork.cxx
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Smaller rests are rounding, in the unit of the capacities.
+// Smaller residual capacities are rounding errors; in the unit of the
+// capacities.
 constexpr double kEpsilon = 1e-9;
 
 } // namespace
@@ -87,7 +88,7 @@
   if (aNode == aSink) {
     return aLimit;
   }
-  // The depth is bounded by the number of stages.
+  // The depth of the recursion is bounded by the number of stages.
   for (std::size_t& next = m_next[aNode]; next < m_outgoing[aNode].size();
        ++next) {
     const std::size_t index = m_outgoing[aNode][next];
--- a/Source/Routing/FlowNetwork.h
+++ b/Source/Routing/FlowNetwork.h
@@ -6,18 +6,18 @@
 
 namespace parsleycove {
 
-// Dinic's algorithm over real capacities.
+// Dinic's algorithm for real-valued capacities.
 class FlowNetwork
 {
 public:
   explicit FlowNetwork(std::size_t aNodes);
 
   std::size_t AddNode();
-  // Returns the edge's number.
+  // Returns the number of the new edge.
   std::size_t AddEdge(std::size_t aFrom, std::size_t aTo, double aCapacity);
-  // Computes the flow from scratch, whatever was computed before.
+  // Computes the maximum flow from scratch, regardless of earlier computations.
   double MaximumFlow(std::size_t aSource, std::size_t aSink);
-  // What the last computation sent over an edge.
+  // Returns the flow over an edge in the last computation.
   double FlowOver(std::size_t aEdge) const;
 
 private:
@@ -25,14 +25,14 @@
   {
     std::size_t m_to = 0;
     double m_capacity = 0;
-    // Capacity that is left; the reverse edge's is the flow.
+    // Residual capacity; that of the reverse edge is the flow.
     double m_residual = 0;
   };
 
   bool FindLevels(std::size_t aSource, std::size_t aSink);
   double Push(std::size_t aNode, std::size_t aSink, double aLimit);
 
-  // Edge 2n and its reverse 2n+1.
+  // Edge n is at index 2n and its reverse edge at index 2n+1.
   std::vector<Edge> m_edges;
   std::vector<std::vector<std::size_t>> m_outgoing;
   std::vector<int> m_levels;
--- a/Source/Routing/HedgePolicy.cxx
+++ b/Source/Routing/HedgePolicy.cxx
@@ -1,4 +1,4 @@
-// Decides when a second copy of an idempotent call is sent.
+// Decides when a hedge, a second copy of an idempotent call, is sent.
 #include "Routing/HedgePolicy.h"
 
 #include <algorithm>
@@ -11,7 +11,8 @@
 constexpr double kSmallestBucketNs = 50'000;
 constexpr double kBucketsPerOctave = 4.0;
 constexpr double kMinSamples = 20.0;
-// Older answers count half once this many are held.
+// All counts are halved once this many samples are held, so that recent answers
+// weigh more.
 constexpr double kMaxSamples = 1000.0;
 constexpr double kHedgedShare = 0.05;
 
--- a/Source/Routing/HedgePolicy.h
+++ b/Source/Routing/HedgePolicy.h
@@ -1,4 +1,4 @@
-// Decides when a second copy of an idempotent call is sent.
+// Decides when a hedge, a second copy of an idempotent call, is sent.
 #pragma once
 
 #include <array>
@@ -10,19 +10,22 @@
 
 namespace parsleycove {
 
-// One per class and thread. A hedge goes out after the time within which 95 in
-// 100 of the class's calls are answered, and only if the budget pays for it.
+// One instance per class and thread. A hedge is sent after the time within
+// which 95 of 100 calls of the class are answered, and only if the retry budget
+// allows it.
 class HedgePolicy
 {
 public:
   explicit HedgePolicy(RetryBudget& aBudget);
 
   void RecordAnswer(Duration aLatency);
-  // When a hedge of a call sent at aSentAt is due; nothing: no hedge.
+  // Returns the time at which a hedge of a call sent at aSentAt is due, or
+  // std::nullopt if the call is not hedged.
   std::optional<TimePoint> HedgeAt(TimePoint aSentAt,
                                    bool aIdempotent,
                                    TimePoint aDeadline) const;
-  // Pays for a hedge that is due; false: go on waiting for the first call.
+  // Takes a token for a hedge that is due. Returns false if the retry budget is
+  // exhausted; then no hedge is sent.
   bool Spend() { return m_budget.Spend(); }
 
 private:
@@ -31,7 +34,7 @@
   Duration Percentile95() const;
 
   RetryBudget& m_budget;
-  // Counts by duration; each bucket is a quarter of an octave wide.
+  // Number of answers by latency; each bucket is a quarter of an octave wide.
   std::array<double, kBuckets> m_counts{};
   double m_total = 0;
 };
--- a/Source/Routing/LeastOutstandingPlanner.cxx
+++ b/Source/Routing/LeastOutstandingPlanner.cxx
@@ -1,4 +1,5 @@
-// Baseline: takes the runner with the fewest streams known to this process.
+// Baseline planner: for each stage, chooses the runner with the fewest streams
+// known to this process.
 #include "Routing/LeastOutstandingPlanner.h"
 
 #include <algorithm>
--- a/Source/Routing/LinkCosts.cxx
+++ b/Source/Routing/LinkCosts.cxx
@@ -1,4 +1,4 @@
-// What moving one step's activations costs between zones.
+// Latency of moving the activations of one step between zones.
 #include "Routing/LinkCosts.h"
 
 namespace parsleycove {
--- a/Source/Routing/LinkCosts.h
+++ b/Source/Routing/LinkCosts.h
@@ -1,4 +1,4 @@
-// What moving one step's activations costs between zones.
+// Latency of moving the activations of one step between zones.
 #pragma once
 
 #include <map>
@@ -9,21 +9,22 @@
 
 namespace parsleycove {
 
-// How activations travel from a stage to the next.
+// How activations travel from one stage to the next.
 enum class ChainTransport
 {
-  // Every stage answers to the gateway, which sends on.
+  // Each stage answers to the gateway, which sends the activations on.
   Relayed,
-  // Each stage sends to the next one itself.
+  // Each stage sends the activations to the next stage.
   Direct,
 };
 
-// One-way times by pair of zones.
+// One-way latencies by pair of zones.
 struct LinkCosts
 {
   Duration m_sameZone = std::chrono::microseconds(100);
   Duration m_otherZone = std::chrono::microseconds(600);
-  // Pairs that differ from the two above; either order is found.
+  // Pairs that differ from the two defaults above; a pair is found in either
+  // order.
   std::map<std::pair<std::string, std::string>, Duration> m_pairs;
 
   Duration OneWayLatency(const std::string& aFrom,
--- a/Source/Routing/PlacementPlanner.cxx
+++ b/Source/Routing/PlacementPlanner.cxx
@@ -1,4 +1,5 @@
-// Assigns layer ranges of one model to runners.
+// Assigns the layer ranges of one model to runners for a high maximum flow, and
+// moves few runners when the set of runners changes.
 #include "Routing/PlacementPlanner.h"
 
 #include <algorithm>
@@ -10,7 +11,7 @@
 
 namespace {
 
-// Gains below this share of the target flow are not worth loading weights.
+// Gains below this share of the target flow do not justify loading weights.
 constexpr double kMinGainShare = 0.005;
 
 double
@@ -32,17 +33,18 @@
   return ranges;
 }
 
-// The runners of one pipeline and the stage that each takes.
+// The runners of one pipeline and the stage of each runner.
 struct Pipeline
 {
   std::vector<LayerRange> m_ranges;
   std::vector<std::size_t> m_runners;
   std::vector<std::size_t> m_stages;
-  // Least rate of a stage.
+  // Lowest rate of a stage.
   double m_flow = 0;
 };
 
-// Fills the least served stage with the fastest runner that is left.
+// Assigns the fastest remaining runner to the stage with the lowest rate until
+// no runner remains.
 Pipeline
 AssignPipeline(std::vector<LayerRange> aRanges,
                const std::vector<PlacementRunner>& aRunners,
@@ -122,7 +124,8 @@
     for (std::uint32_t stages = 1; stages <= aLayers; ++stages) {
       Pipeline pipeline =
         AssignPipeline(SplitEvenly(aLayers, stages), aRunners, free);
-      // Fewer stages are better when the flow is the same: fewer transfers.
+      // At equal flow, fewer stages are preferred because they need fewer
+      // transfers.
       if (pipeline.m_flow > best.m_flow * (1.0 + kMinGainShare)) {
         best = std::move(pipeline);
       }
@@ -161,7 +164,8 @@
       addRange(*runner.m_holds);
     }
   }
-  // A range whose last runner vanished is what lies between two others.
+  // A range that has lost its last runner lies between two remaining
+  // boundaries.
   std::vector<std::uint32_t> boundaries{ 0, aLayers };
   for (const LayerRange& range : ranges) {
     boundaries.push_back(range.m_firstLayer);
--- a/Source/Routing/PlacementPlanner.h
+++ b/Source/Routing/PlacementPlanner.h
@@ -1,4 +1,5 @@
-// Assigns layer ranges of one model to runners.
+// Assigns the layer ranges of one model to runners for a high maximum flow, and
+// moves few runners when the set of runners changes.
 #pragma once
 
 #include <cstddef>
@@ -19,20 +20,22 @@
   bool operator==(const LayerRange&) const = default;
 };
 
-// A runner that may hold a range of the model.
+// A runner that may hold a range of the model's layers.
 struct PlacementRunner
 {
   std::string m_id;
   std::uint64_t m_incarnation = 0;
-  // Tokens a second if it held a single layer; n layers divide it by n.
+  // Tokens per second if the runner held a single layer; n layers divide this
+  // rate by n.
   double m_layerTokensPerSecond = 0;
-  // How many layers fit into its memory.
+  // Number of layers that fit into the runner's memory.
   std::uint32_t m_memoryLayers = 0;
-  // What it holds now.
+  // Range that the runner holds now; std::nullopt if none.
   std::optional<LayerRange> m_holds;
 };
 
-// An absolute order: the runner is to hold exactly this range.
+// An absolute order: the runner is to hold exactly m_range, whatever it holds
+// now.
 struct HoldLayersOrder
 {
   std::string m_id;
@@ -42,24 +45,27 @@
 
 struct Placement
 {
-  // Only for runners whose range changes, most needed first.
+  // Orders for the runners whose range changes, most needed first.
   std::vector<HoldLayersOrder> m_orders;
-  // Maximum flow in tokens a second once all orders are done.
+  // Maximum flow in tokens per second once all orders are carried out.
   double m_flow = 0;
 };
 
 struct PlacementSettings
 {
-  // A repair that gets this share of a fresh placement's flow is kept.
+  // A rebalanced placement is kept if it reaches this share of the flow of a
+  // placement from scratch.
   double m_minFlowShare = 0.9;
-  // Moves of a repair; more make it a fresh placement.
+  // Maximum number of moves of a rebalance. If more are needed, the placement
+  // from scratch is used.
   std::size_t m_maxMoves = 32;
 };
 
-// A fresh placement cuts the model into stages of near-equal length and fills
-// the least served stage first; runners with too little memory form further
-// chains of shorter stages. A repair keeps the present cut and moves single
-// runners to where the flow gains most.
+// A placement from scratch splits the model into stages of near-equal length
+// and assigns runners to the stage with the lowest rate first; runners with too
+// little memory form additional pipelines of shorter stages. A rebalance keeps
+// the present split and moves single runners to the ranges where the flow gains
+// most.
 class PlacementPlanner
 {
 public:
@@ -69,9 +75,9 @@
                  const std::vector<PlacementRunner>& aRunners) const;
 
 private:
-  // By runner; empty: it holds nothing.
+  // Range by runner; std::nullopt if the runner holds no layers.
   using Assignment = std::vector<std::optional<LayerRange>>;
-  // What a placement is worth: the flow, then how evenly layers are covered.
+  // Value of a placement: first the flow, then how evenly layers are covered.
   struct Score
   {
     double m_flow = 0;
--- a/Source/Routing/Random.h
+++ b/Source/Routing/Random.h
@@ -1,11 +1,12 @@
-// A small seeded generator for choices among near-equals and for jitter.
+// Small seeded random number generator for choices among near-equal candidates
+// and for jitter.
 #pragma once
 
 #include <cstdint>
 
 namespace parsleycove {
 
-// Mixes 64 bits so that near inputs give unrelated outputs.
+// Mixes 64 bits so that similar inputs give unrelated outputs.
 constexpr std::uint64_t
 MixBits(std::uint64_t aValue)
 {
@@ -14,7 +15,7 @@
   return aValue ^ (aValue >> 31);
 }
 
-// SplitMix64: the seed alone decides the sequence.
+// SplitMix64; the sequence depends on the seed only.
 class Random
 {
 public:
--- a/Source/Routing/RandomTwoChoicesPlanner.cxx
+++ b/Source/Routing/RandomTwoChoicesPlanner.cxx
@@ -1,4 +1,5 @@
-// Baseline: takes the less loaded of two random runners.
+// Baseline planner: for each stage, chooses the less loaded of two random
+// runners.
 #include "Routing/RandomTwoChoicesPlanner.h"
 
 namespace parsleycove {
--- a/Source/Routing/RandomTwoChoicesPlanner.h
+++ b/Source/Routing/RandomTwoChoicesPlanner.h
@@ -1,4 +1,5 @@
-// Baseline: takes the less loaded of two random runners.
+// Baseline planner: for each stage, chooses the less loaded of two random
+// runners.
 #pragma once
 
 #include "Routing/Random.h"
--- a/Source/Routing/RetryBudget.cxx
+++ b/Source/Routing/RetryBudget.cxx
@@ -1,4 +1,5 @@
-// Bounds retries and hedges to a share of the successful traffic.
+// Limits retries and hedges to a share of the successful traffic, so that a
+// partial outage causes no retry storm.
 #include "Routing/RetryBudget.h"
 
 #include <algorithm>
@@ -45,7 +46,8 @@
   if (aRequest.m_attempts >= aRequest.m_maxAttempts) {
     return { RetryStatus::TooManyAttempts, {} };
   }
-  // The first retry goes elsewhere at once; later ones wait with full jitter.
+  // The first retry goes to another endpoint at once; later retries wait with
+  // full jitter.
   Duration backoff{};
   if (aRequest.m_attempts > 1) {
     const std::uint32_t doublings =
--- a/Source/Routing/RetryBudget.h
+++ b/Source/Routing/RetryBudget.h
@@ -1,4 +1,5 @@
-// Bounds retries and hedges to a share of the successful traffic.
+// Limits retries and hedges to a share of the successful traffic, so that a
+// partial outage causes no retry storm.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +12,10 @@
 enum class RetryStatus
 {
   Retry,
-  // A byte may have left and the call may not be repeated.
+  // The endpoint may have received the call, and the call is not idempotent.
   NotIdempotent,
   BudgetExhausted,
-  // The retry could not end before the deadline.
+  // The retry would not end before the deadline.
   WouldMissDeadline,
   TooManyAttempts,
 };
@@ -22,37 +23,38 @@
 struct RetryDecision
 {
   RetryStatus m_status = RetryStatus::Retry;
-  // How long to wait first.
+  // Time to wait before the retry.
   Duration m_backoff{};
 };
 
-// A failed call that might be tried again.
+// A failed call that is considered for a retry.
 struct RetryRequest
 {
   // Attempts made so far, at least 1.
   std::uint32_t m_attempts = 1;
   std::uint32_t m_maxAttempts = 4;
   bool m_idempotent = false;
-  // True unless it is certain that no byte left for the endpoint.
+  // False only if it is certain that no byte was sent to the endpoint.
   bool m_mayHaveBeenSent = true;
-  // How long the call usually takes.
+  // Usual duration of the call.
   Duration m_expected{};
   TimePoint m_deadline;
 };
 
-// A token bucket that successes fill; one per thread.
+// Token bucket that successful calls fill; one instance per thread.
 //
-// Invariant: over any time, retries and hedges are at most the reserve plus
-// the share of the successes in that time.
+// Invariant: in any period, the number of retries and hedges is at most the
+// bucket's capacity plus the configured ratio of the successes in that period.
 class RetryBudget
 {
 public:
   RetryBudget(double aRatio, double aCapacity, std::uint64_t aSeed);
 
   void RecordSuccess();
-  // Decides on a retry and, when it is allowed, pays for it.
+  // Decides on a retry. An allowed retry takes one token.
   RetryDecision Decide(TimePoint aNow, const RetryRequest& aRequest);
-  // Pays for one extra call; false when the budget is spent.
+  // Takes one token for an extra call. Returns false if the budget is
+  // exhausted.
   bool Spend();
   double Tokens() const { return m_tokens; }
 
--- a/Source/Routing/RoundRobinPlanner.cxx
+++ b/Source/Routing/RoundRobinPlanner.cxx
@@ -1,4 +1,4 @@
-// Baseline: takes the runners of each stage in turn.
+// Baseline planner: uses the runners of each stage in turn.
 #include "Routing/RoundRobinPlanner.h"
 
 namespace parsleycove {
--- a/Source/Routing/RoundRobinPlanner.h
+++ b/Source/Routing/RoundRobinPlanner.h
@@ -1,4 +1,4 @@
-// Baseline: takes the runners of each stage in turn.
+// Baseline planner: uses the runners of each stage in turn.
 #pragma once
 
 #include "Routing/StagewisePlanner.h"
@@ -11,7 +11,7 @@
   std::size_t Choose(TimePoint aNow, const Candidates& aCandidates) override;
 
 private:
-  // By first layer of the stage.
+  // Number of choices made so far, by the stage's first layer.
   std::vector<std::size_t> m_turns;
 };
 
--- a/Source/Routing/StagewisePlanner.cxx
+++ b/Source/Routing/StagewisePlanner.cxx
@@ -1,4 +1,5 @@
-// Base of the planners that choose stage after stage, for comparison.
+// Base of the baseline planners, which choose a runner for one stage after
+// another. The baselines serve for comparison with ExpectedCompletionPlanner.
 #include "Routing/StagewisePlanner.h"
 
 #include <algorithm>
@@ -39,7 +40,7 @@
   m_reachable[aLayers] = true;
   m_usable.assign(aSet.m_runners.size(), false);
   const auto& excluded = aRequest.m_excluded;
-  // From the back: a range ends at a later boundary than it begins.
+  // Iterates backwards because a range ends at a later boundary than it begins.
   for (std::size_t i = aSet.m_runners.size(); i > 0; --i) {
     const Runner& runner = *aSet.m_runners[i - 1];
     const bool isExcluded =
--- a/Source/Routing/StagewisePlanner.h
+++ b/Source/Routing/StagewisePlanner.h
@@ -1,4 +1,5 @@
-// Base of the planners that choose stage after stage, for comparison.
+// Base of the baseline planners, which choose a runner for one stage after
+// another. The baselines serve for comparison with ExpectedCompletionPlanner.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +9,8 @@
 
 namespace parsleycove {
 
-// Walks from layer 0 on over the runners from which the end can be reached.
+// Plans from layer 0 onwards and considers only runners from which the model's
+// end can be reached.
 class StagewisePlanner : public ChainPlanner
 {
 public:
@@ -30,9 +32,9 @@
                             const RunnerSet& aSet,
                             std::uint32_t aLayer);
 
-  // Scratch space, kept to save allocations.
-  std::vector<bool> m_reachable; // by boundary: the end can be reached from it
-  std::vector<bool> m_usable;    // by runner of the set
+  // Buffers that are reused to save allocations.
+  std::vector<bool> m_reachable; // by boundary: the model's end is reachable
+  std::vector<bool> m_usable;    // by index in the set
   Candidates m_candidates;
   std::vector<std::size_t> m_indices;
 };
--- a/Source/Routing/StepResult.h
+++ b/Source/Routing/StepResult.h
@@ -1,4 +1,4 @@
-// What engines answer to a step of a generation.
+// Answer of an engine to one step of a generation.
 #pragma once
 
 #include <array>
@@ -27,14 +27,15 @@
 
 struct StepResult
 {
-  // The stage that was asked; the sender of the step knows it.
+  // Stage that the step was sent to; set by the sender of the step.
   std::size_t m_stage = 0;
   std::uint32_t m_attempt = 0;
   std::uint32_t m_position = 0;
   StepStatus m_status = StepStatus::Ok;
-  // Opaque to the router; passed on as it came.
+  // Hidden state for the next stage; opaque to the router and passed on
+  // unchanged.
   std::string m_hidden;
-  // From the last stage only.
+  // Set by the last stage only.
   std::uint32_t m_token = 0;
   std::string m_text;
   bool m_end = false;
--- a/Source/Routing/StepTimeout.cxx
+++ b/Source/Routing/StepTimeout.cxx
@@ -1,4 +1,4 @@
-// How long a stage may stay silent.
+// Time within which a stage must answer a step.
 #include "Routing/StepTimeout.h"
 
 #include <algorithm>
--- a/Source/Routing/StepTimeout.h
+++ b/Source/Routing/StepTimeout.h
@@ -1,4 +1,4 @@
-// How long a stage may stay silent.
+// Time within which a stage must answer a step.
 #pragma once
 
 #include "Base/Clock.h"
@@ -8,9 +8,10 @@
 
 namespace parsleycove {
 
-// Returns the time after which an unanswered step counts as lost: a multiple
-// of the class's token interval or of the runner's usual round trip, and more
-// for a prompt. aIsFirstToken is true until the caller was given a token.
+// Returns the time after which an unanswered step counts as failed: a multiple
+// of the longer of the class's token interval and the runner's usual round
+// trip, and more for a prompt. aIsFirstToken is true until the caller has
+// received a token.
 Duration
 ComputeStepTimeout(const ClassTargets& aTargets,
                    const Runner& aRunner,
--- a/Source/Routing/StreamAction.h
+++ b/Source/Routing/StreamAction.h
@@ -1,4 +1,4 @@
-// What a generation asks its shell to do.
+// Actions that the state machine of a generation returns to its caller.
 #pragma once
 
 #include <array>
@@ -14,7 +14,7 @@
 
 namespace parsleycove {
 
-// The inputs of one step; m_tokens for stage 0, m_hidden for the others.
+// Inputs of one step: m_tokens for stage 0, m_hidden for the other stages.
 struct EngineStep
 {
   std::uint32_t m_attempt = 0;
@@ -40,27 +40,27 @@
 
 struct EmitToken
 {
-  // Counts from 0 without gaps.
+  // Position of the token in the answer, from 0 without gaps.
   std::size_t m_index = 0;
   std::uint32_t m_token = 0;
   std::string m_text;
 };
 
-// Answered by OnChain or OnNoChain.
+// Requests a chain. OnChain or OnNoChain gives the answer.
 struct NeedChain
 {
   std::uint32_t m_attempt = 0;
-  // Inputs that the new chain has to compute before the next token.
+  // Number of inputs that the new chain has to compute before the next token.
   std::uint32_t m_promptTokens = 0;
   std::uint32_t m_expectedTokens = 0;
   std::vector<std::string> m_excluded;
-  // For ChainRequest::m_answeredSince.
+  // Value for ChainRequest::m_answeredSince.
   TimePoint m_answeredSince;
 };
 
 enum class FinishReason
 {
-  // The model ended the text.
+  // The model ended the answer.
   End,
   MaxTokens,
   Cancelled,
@@ -81,7 +81,7 @@
 struct FinishStream
 {
   FinishReason m_reason = FinishReason::End;
-  // For people; empty when the whole text was given.
+  // Explanation for people; empty if the whole text was delivered.
   std::string m_text;
 };
 
--- a/Source/Routing/StreamStateMachine.cxx
+++ b/Source/Routing/StreamStateMachine.cxx
@@ -1,4 +1,5 @@
-// The state machine of one generation over a chain of runners.
+// State machine of one generation over a chain of runners, which continues on a
+// new chain when a stage fails.
 #include "Routing/StreamStateMachine.h"
 
 #include <algorithm>
@@ -97,8 +98,8 @@
     Finish(FinishReason::NoChain, aReason);
     return;
   }
-  // A running stream waits for another placement until its deadline, and may
-  // go back to a runner that failed it once.
+  // A stream that has already started waits for a new placement until its
+  // deadline, and may use runners again that failed earlier.
   m_lastFailure = aReason;
   m_excluded.clear();
   RequestChain(aNow, aNow + kRetryInterval);
@@ -162,14 +163,15 @@
       return;
     case StepStatus::Gap:
       AbandonAttempt(
-        aNow, "a stage lacked earlier positions", StageFault::ErrorAnswer);
+        aNow, "the stage lacks earlier positions", StageFault::ErrorAnswer);
       return;
     case StepStatus::Cancelled:
       AbandonAttempt(
-        aNow, "a stage had cancelled the stream", StageFault::ErrorAnswer);
+        aNow, "the stage has cancelled the stream", StageFault::ErrorAnswer);
       return;
     case StepStatus::Refused:
-      AbandonAttempt(aNow, "a stage refused the step", StageFault::ErrorAnswer);
+      AbandonAttempt(
+        aNow, "the stage refused the step", StageFault::ErrorAnswer);
       return;
   }
 }
@@ -200,7 +202,7 @@
 void
 StreamStateMachine::HandleToken(TimePoint aNow, const StepResult& aResult)
 {
-  // The end mark may carry no text; then it is no token of the answer.
+  // An end mark without text is no token of the answer.
   if (!aResult.m_end || !aResult.m_text.empty()) {
     m_actions.emplace_back(
       EmitToken{ m_emitted.size(), aResult.m_token, aResult.m_text });
@@ -227,7 +229,7 @@
 {
   if (IsOutstanding(aAttempt, aStage)) {
     AbandonAttempt(
-      aNow, "the connection to a stage failed", StageFault::ConnectionFailed);
+      aNow, "the connection to the stage failed", StageFault::ConnectionFailed);
   }
 }
 
@@ -237,7 +239,7 @@
                                        std::size_t aStage)
 {
   if (IsOutstanding(aAttempt, aStage)) {
-    AbandonAttempt(aNow, "a stage stayed silent", StageFault::Unresponsive);
+    AbandonAttempt(aNow, "the stage stayed silent", StageFault::Unresponsive);
   }
 }
 
@@ -270,7 +272,8 @@
   RetryRequest request;
   request.m_attempts = m_attempt;
   request.m_maxAttempts = m_settings.m_maxAttempts;
-  // Steps are idempotent: an attempt's number keeps its results apart.
+  // Steps are idempotent: the attempt number separates the results of different
+  // attempts.
   request.m_idempotent = true;
   request.m_deadline = m_settings.m_deadline;
   return m_budget->Decide(aNow, request);
@@ -286,7 +289,8 @@
       RequestChain(aNow, aNow + decision.m_backoff);
       return;
     case RetryStatus::BudgetExhausted:
-      // Others' successes fill the budget; until then this stream waits.
+      // Successes of other streams refill the budget; this stream waits until
+      // then.
       m_phase = Phase::WaitingForBudget;
       m_retryAt = aNow + kRetryInterval;
       return;
@@ -348,7 +352,8 @@
 void
 StreamStateMachine::ReleaseChain()
 {
-  // Engines keep a stream's KV cache until they are told that it is over.
+  // Engines keep the KV cache of a stream until they are told that the stream's
+  // attempt has ended.
   for (std::size_t i = 0; i < m_chain.StageCount(); ++i) {
     m_actions.emplace_back(SendCancel{ i, m_chain.RunnerAt(i), m_attempt });
   }
--- a/Source/Routing/StreamStateMachine.h
+++ b/Source/Routing/StreamStateMachine.h
@@ -1,4 +1,5 @@
-// The state machine of one generation over a chain of runners.
+// State machine of one generation over a chain of runners, which continues on a
+// new chain when a stage fails.
 #pragma once
 
 #include <cstdint>
@@ -23,42 +24,47 @@
   std::uint32_t m_prefillChunk = 0;
 };
 
-// Drives a generation: (now, event) in, actions out.
+// Drives one generation without I/O: each event comes with the present time,
+// and TakeActions() returns the resulting actions.
 //
-// At most one step is outstanding, so for an attempt each stage is sent each
-// position once, in order. A result is taken only when its attempt, stage and
-// position are those of the outstanding step. A failed, silent or refusing
-// stage starts the next attempt on a new chain, with the prompt and all tokens
-// already emitted as its input; so the caller sees each token once.
+// At most one step is outstanding, so within an attempt each stage is sent each
+// position once, in order. A result is accepted only if its attempt, stage and
+// position are those of the outstanding step. When a stage fails, does not
+// answer in time or refuses a step, the next attempt starts on a new chain,
+// with the prompt and all tokens already emitted as its input; the caller
+// therefore receives each token once.
 class StreamStateMachine
 {
 public:
-  // aBudget may be null: then attempts are bounded by count and deadline only.
+  // aBudget may be nullptr; then only the number of attempts and the deadline
+  // limit retries.
   StreamStateMachine(StreamSettings aSettings, RetryBudget* aBudget);
   ~StreamStateMachine();
   StreamStateMachine(const StreamStateMachine&) = delete;
   StreamStateMachine& operator=(const StreamStateMachine&) = delete;
 
   void OnTokenized(TimePoint aNow, std::vector<std::uint32_t> aTokens);
-  // Answers to NeedChain.
+  // OnChain and OnNoChain answer a NeedChain action.
   void OnChain(TimePoint aNow, Chain aChain);
   void OnNoChain(TimePoint aNow, const std::string& aReason);
   void OnResult(TimePoint aNow, StepResult aResult);
-  // The connection broke or was refused, or the endpoint is gone.
+  // The connection to the stage broke or was refused, or the endpoint was
+  // removed.
   void OnStepFailed(TimePoint aNow, std::uint32_t aAttempt, std::size_t aStage);
-  // The connection of the step gave no sign of life.
+  // The stage gave no sign of life on its connection in time.
   void OnStepUnresponsive(TimePoint aNow,
                           std::uint32_t aAttempt,
                           std::size_t aStage);
-  // The caller's buffer is full, or has room again.
+  // The caller's buffer became full, or has space again.
   void OnCallerSlow(TimePoint aNow);
   void OnCallerDrained(TimePoint aNow);
   void OnCancel(TimePoint aNow);
   void OnTick(TimePoint aNow);
 
-  // Hands over the actions since the last call, in order.
+  // Returns the actions since the last call, in order.
   std::vector<StreamAction> TakeActions();
-  // When OnTick is due at the latest; the deadline while nothing else is.
+  // Returns the latest time at which OnTick is due: the stream's deadline if
+  // nothing is due earlier, or TimePoint::max() once finished.
   TimePoint NextDeadline() const;
 
   bool IsFinished() const { return m_phase == Phase::Finished; }
@@ -73,11 +79,11 @@
     // The next attempt waits until the retry budget allows it.
     WaitingForBudget,
     Running,
-    // A token was emitted and the caller's buffer is full.
+    // The last token was emitted and the caller's buffer is full.
     Paused,
     Finished,
   };
-  // What a stage did instead of a good answer.
+  // How a stage failed to give a good answer.
   enum class StageFault
   {
     ErrorAnswer,
@@ -98,7 +104,7 @@
                       StageFault aFault);
   RetryDecision DecideOnRetry(TimePoint aNow);
   void TryNextAttempt(TimePoint aNow);
-  // Tells the stages that the attempt is over.
+  // Cancels the attempt at all stages and releases the chain.
   void ReleaseChain();
   void Finish(FinishReason aReason, std::string aText);
 
@@ -107,16 +113,17 @@
   Phase m_phase = Phase::Tokenizing;
   std::uint32_t m_attempt = 1;
   std::vector<std::uint32_t> m_prompt;
-  // Tokens the caller was given, in order; never changed once there.
+  // Tokens given to the caller, in order; entries never change.
   std::vector<std::uint32_t> m_emitted;
   ChainReservation m_chain;
-  // Inputs of this attempt that have passed the last stage.
+  // Number of inputs of this attempt that have passed the last stage.
   std::uint32_t m_processedInputs = 0;
   bool m_callerSlow = false;
   std::vector<std::string> m_excluded;
-  // When the step was sent that last stayed unanswered.
+  // Time at which the most recent step without an answer was sent.
   TimePoint m_unansweredSince;
-  // When a chain or the budget is asked again, or max while neither is due.
+  // Time at which a chain or the retry budget is requested again;
+  // TimePoint::max() if neither is due.
   TimePoint m_retryAt = TimePoint::max();
   std::string m_lastFailure;
   std::vector<StreamAction> m_actions;
--- a/Source/Routing/WaitingRequest.h
+++ b/Source/Routing/WaitingRequest.h
@@ -1,4 +1,4 @@
-// A request in an admission queue.
+// A request that waits in an admission queue.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,9 @@
 struct ByDeadline;
 struct ByLatestStart;
 
-// Invariant: linked into its account's order and the queue's order while it
-// waits, into neither once it was started, refused or withdrawn.
+// Invariant: while the request waits, it is linked into its account's queue and
+// into the resource's order by latest start. Once started, refused or
+// withdrawn, it is in neither.
 struct WaitingRequest
   : boost::intrusive::set_base_hook<boost::intrusive::tag<ByDeadline>>
   , boost::intrusive::set_base_hook<boost::intrusive::tag<ByLatestStart>>
@@ -25,7 +26,7 @@
   std::size_t m_class = 0;
   double m_cost = 0;
   TimePoint m_deadline;
-  // A start after this would most likely end late.
+  // A start after this time would most likely miss the request's targets.
   TimePoint m_latestStart;
 };
 
