--- a/Tests/Routing/AdmissionControllerTest.cxx
+++ b/Tests/Routing/AdmissionControllerTest.cxx
@@ -1,4 +1,7 @@
-// Tests of admission: fairness, early refusals and goodput under overload.
+// Tests of admission control under overload. Without admission control, queues
+// grow until most answers miss their deadline, and one account with many
+// requests starves the others. The tests also guard against refusals that come
+// late or name no time for a retry.
 #include "Routing/AdmissionController.h"
 
 #include "Routing/QueueModel.h"
@@ -19,7 +22,7 @@
   return targets;
 }
 
-// 16 servers of 100 ms each serve 160 requests a second.
+// 16 servers at 100 ms per request serve 160 requests per second.
 constexpr double kCapacity = 160;
 
 QueueModelResult
@@ -61,7 +64,8 @@
     const QueueModelResult result = RunAtLoad(load);
     CHECK(result.m_total.m_inTime >= 0.9 * static_cast<double>(base));
     CHECK(result.m_total.m_late <= 0.05 * result.m_total.m_inTime);
-    // Without admission the model does fall; so it can show the difference.
+    // Without admission the goodput falls, so the model can show the
+    // difference.
     const QueueModelResult open = RunAtLoad(load, false);
     CHECK(open.m_total.m_inTime < 0.5 * static_cast<double>(base));
   }
@@ -98,7 +102,7 @@
                  name.c_str());
     }
   }
-  // What the small ones leave is the large one's.
+  // The large account gets the capacity that the small accounts leave.
   const AccountResult& large = result.m_accounts.at("large");
   CHECK(large.m_inTime >= 0.2 * static_cast<double>(large.m_sent));
   CHECK(result.m_total.m_inTime >= 0.85 * kCapacity * 20);
@@ -119,8 +123,10 @@
 TEST(AdmissionController, RefusesAtOnceWhatCannotBeInTime)
 {
   m_controller.SetCapacity(kTestStart, "m", 100);
-  // 50 outstanding at first; then the queue grows by 10 each, 100 a second, up
-  // to 0.8 of the second that is left beside half the target for the service.
+  // At first, a cost of 50 may be outstanding. Each further request adds a cost
+  // of 10 to the queue, which is served at 100 per second. The queue may take
+  // 0.8 of the 1 s that remains when half the target is set aside for the
+  // service.
   std::uint64_t id = 0;
   AdmissionDecision decision;
   do {
@@ -129,7 +135,7 @@
   CHECK_EQUAL(5 + 8 + 1, id);
   CHECK(decision.m_retryAfter > Duration::zero());
   CHECK(decision.m_retryAfter < std::chrono::seconds(2));
-  // Another account has its own share of the queue.
+  // Each account has a separate share of the queue.
   CHECK(Submit(++id, "b").m_status == AdmissionStatus::Queued);
 }
 
@@ -232,7 +238,7 @@
   for (std::uint64_t id = 11; id <= 15; ++id) {
     Submit(id, "small" + std::to_string(id), std::chrono::seconds(2), 1);
   }
-  // 80 may wait: 5 of the small accounts and 7 requests of 10.
+  // A cost of 80 may wait: 5 for the small accounts and 7 requests of 10.
   std::uint64_t id = 20;
   while (Submit(id, "a").m_status == AdmissionStatus::Queued) {
     ++id;
--- a/Tests/Routing/ChainPlannerTest.cxx
+++ b/Tests/Routing/ChainPlannerTest.cxx
@@ -1,4 +1,7 @@
-// Tests that hold for every planner, and of the expected-completion planner.
+// Tests that hold for every planner, and tests of ExpectedCompletionPlanner.
+// They guard against chains that skip or repeat a layer or use an unusable
+// runner, and against gateways that all choose the same runner because they see
+// the same reports.
 #include "Routing/ExpectedCompletionPlanner.h"
 
 #include <algorithm>
@@ -58,7 +61,8 @@
   CHECK_EQUAL(aLayers, next);
 }
 
-// Overlapping, nested and dangling ranges, some Leaving, in three zones.
+// Builds a cluster in three zones with overlapping, nested and dangling ranges;
+// some runners are Leaving.
 TestCluster
 MakeMixedCluster(std::uint64_t aSeed, std::uint32_t aLayers)
 {
@@ -158,7 +162,7 @@
 {
   static constexpr std::uint32_t kStages = 4;
 
-  // kStages stages of one layer each with aWidth runners.
+  // Adds kStages stages of one layer each, with aWidth runners per stage.
   void AddStages(std::uint32_t aWidth)
   {
     m_cluster.AddModel("m", kStages);
@@ -181,7 +185,8 @@
   AddStages(kWidth);
   std::map<std::string, std::size_t> counts;
   for (std::size_t gateway = 0; gateway < kGateways; ++gateway) {
-    // Each gateway has counts of its own and the same report: one is idle.
+    // Each gateway has separate stream counts but the same report, in which one
+    // runner of each stage is nearly idle.
     const auto table = m_cluster.Build();
     for (const RunnerPtr& runner : table->Runners()) {
       const bool idle = runner->m_id.back() == '0';
@@ -201,8 +206,8 @@
   for (const auto& [id, count] : counts) {
     most = std::max(most, count);
   }
-  // An even share is 48; taking the least loaded of a report would give all
-  // of the first plans of every gateway to one runner.
+  // An even share is 48. Choosing the least loaded runner of the report would
+  // send the first plans of every gateway to one runner.
   CHECK(most <= 2 * kGateways * kPlans / kWidth);
   CHECK_EQUAL(std::size_t{ kWidth } * kStages, counts.size());
 }
@@ -227,7 +232,7 @@
   settings.m_links.m_otherZone = std::chrono::milliseconds(10);
   m_cluster.AddModel("m", 3);
   for (std::uint32_t layer = 0; layer < 3; ++layer) {
-    // The faster runners of the layers are in zones b, a, b.
+    // The faster runners of layers 0, 1 and 2 are in zones b, a and b.
     const std::uint32_t rate = layer == 1 ? 4000 : 3000;
     const std::string id = std::to_string(layer);
     m_cluster.AddEngine("a" + id, "m", layer, layer, rate, "a");
@@ -244,7 +249,8 @@
       for (const ChainStage& stage : chain->m_stages) {
         zones.insert(stage.m_runner->m_zone);
       }
-      // Relayed, all stages are near; handed on, they are near each other.
+      // With Relayed, all stages are in the gateway's zone; with Direct, all
+      // stages share a zone.
       CHECK_EQUAL(1, zones.size());
       const bool relayed = transport == ChainTransport::Relayed;
       CHECK(!relayed || *zones.begin() == "a");
@@ -311,7 +317,8 @@
   const auto table = m_cluster.Build();
   const TimePoint now = kTestStart + std::chrono::milliseconds(200);
   for (const RunnerPtr& runner : table->Runners()) {
-    // In stage 3 nobody answered; elsewhere only the second runner.
+    // No runner of stage 3 has answered; in the other stages only the second
+    // runner has.
     if (runner->m_id.back() == '1' && runner->m_firstLayer != 3) {
       runner->m_load->StartStep(1);
       runner->m_load->FinishStep(now, 1, Duration(1000), Duration::zero());
@@ -347,7 +354,7 @@
     idle.insert(chain->m_stages[0].m_runner->m_id);
   }
   CHECK_EQUAL(1, idle.size());
-  // With streams that stay, the preferred runner gets a bounded share.
+  // While streams stay open, the preferred runner gets a bounded share of them.
   ExpectedCompletionPlanner planner(PlannerSettings{}, 1);
   for (int i = 0; i < 120; ++i) {
     const auto chain = planner.Plan(kTestStart, *table, request);
--- a/Tests/Routing/FlowBoundTest.cxx
+++ b/Tests/Routing/FlowBoundTest.cxx
@@ -1,4 +1,4 @@
-// Tests of the flow bound against graphs computed by hand.
+// Tests of the flow bound against values computed by hand.
 #include "Routing/FlowBound.h"
 
 #include "Routing/TestCluster.h"
@@ -27,7 +27,8 @@
 
 TEST(FlowBound, ParallelCutsShareTheirCommonStages)
 {
-  // 0-3 whole: 10. 0-1 feeds 2-3 and 2-2 with 3-3: min(25, 12 + min(9, 5)).
+  // One runner for layers 0-3 carries 10. Layers 0-1 feed 2-3, and 2-2 followed
+  // by 3-3: min(25, 12 + min(9, 5)).
   DOUBLES_EQUAL(
     27.0,
     ComputeFlowBound(
--- a/Tests/Routing/PlacementPlannerTest.cxx
+++ b/Tests/Routing/PlacementPlannerTest.cxx
@@ -1,4 +1,5 @@
-// Tests of placing layer ranges and of repairing a placement.
+// Tests of placing layer ranges from scratch and of rebalancing a placement
+// after a stage has lost all its runners.
 #include "Routing/PlacementPlanner.h"
 
 #include <map>
@@ -63,7 +64,7 @@
   }
   const Placement placement = m_planner.Plan(12, runners);
   CHECK_EQUAL(8, placement.m_orders.size());
-  // 8 runners x 1200 layer tokens a second over 12 layers.
+  // 8 runners x 1200 layer tokens per second over 12 layers.
   DOUBLES_EQUAL(800.0, placement.m_flow, 1e-6);
 }
 
--- a/Tests/Routing/QueueModel.cxx
+++ b/Tests/Routing/QueueModel.cxx
@@ -1,4 +1,4 @@
-// A discrete-event model of servers behind one admission controller.
+// Discrete-event model of servers behind one admission controller.
 #include "Routing/QueueModel.h"
 
 #include <algorithm>
--- a/Tests/Routing/QueueModel.h
+++ b/Tests/Routing/QueueModel.h
@@ -1,4 +1,4 @@
-// A discrete-event model of servers behind one admission controller.
+// Discrete-event model of servers behind one admission controller.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace parsleycove {
 
-// One account's Poisson arrivals.
+// Poisson arrivals of one client account.
 struct ArrivalStream
 {
   std::string m_account;
@@ -23,12 +23,13 @@
 struct QueueModelSettings
 {
   std::size_t m_servers = 16;
-  // Service takes half of this to three halves, evenly spread.
+  // Mean service time; a service takes half of it to three halves, uniformly
+  // distributed.
   Duration m_service = std::chrono::milliseconds(100);
   Duration m_length = std::chrono::seconds(20);
   std::vector<ArrivalStream> m_arrivals;
   std::uint64_t m_seed = 1;
-  // False: every request goes to the servers' queue at once.
+  // If false, every request goes to the servers' queue at once.
   bool m_admission = true;
 };
 
@@ -47,7 +48,7 @@
   // Refusals that came after the request's deadline.
   std::size_t m_refusedTooLate = 0;
   std::size_t m_refusedWithoutRetryAfter = 0;
-  // Neither started nor refused when all was over.
+  // Requests that were neither answered nor refused at the end of the run.
   std::size_t m_unanswered = 0;
   Duration m_longestRefusal{};
 };
--- a/Tests/Routing/RetryBudgetTest.cxx
+++ b/Tests/Routing/RetryBudgetTest.cxx
@@ -1,4 +1,6 @@
-// Tests of retries and hedges: what may be repeated, and how much of it.
+// Tests of retries and hedges: which calls may be retried, and how many. They
+// guard against calls that run twice, and against a retry storm when a zone
+// fails.
 #include "Routing/RetryBudget.h"
 
 #include "Routing/HedgePolicy.h"
@@ -69,8 +71,8 @@
 
 TEST(RetryBudget, LossOfAZoneCausesNoRetryStorm)
 {
-  // A third of all calls fails, and each failure asks for up to 3 retries
-  // that fail with the same chance.
+  // A third of all calls fail. Each failure asks for up to 3 retries, which
+  // fail with the same probability.
   constexpr double kRatio = 0.1;
   constexpr double kCapacity = 20;
   constexpr int kCalls = 10000;
--- a/Tests/Routing/StreamSimulation.cxx
+++ b/Tests/Routing/StreamSimulation.cxx
@@ -1,4 +1,5 @@
-// Runs one generation against toy engines in virtual time, with faults.
+// Simulates one generation against toy engines in virtual time, with injected
+// faults.
 #include "Routing/StreamSimulation.h"
 
 #include <algorithm>
--- a/Tests/Routing/StreamSimulation.h
+++ b/Tests/Routing/StreamSimulation.h
@@ -1,4 +1,5 @@
-// Runs one generation against toy engines in virtual time, with faults.
+// Simulates one generation against toy engines in virtual time, with injected
+// faults.
 #pragma once
 
 #include <cstddef>
@@ -33,7 +34,7 @@
 };
 inline constexpr std::size_t kStreamFaults = 14;
 
-// Which step, counted from 0 over all that are sent, meets which fault.
+// A fault and the step at which it occurs, counted from 0 over all steps sent.
 struct PlannedFault
 {
   std::size_t m_step = 0;
@@ -49,7 +50,7 @@
 
   void Run();
 
-  // What was seen.
+  // Observations of the run.
   std::string m_text;
   bool m_indicesInOrder = true;
   std::vector<FinishStream> m_finishes;
--- a/Tests/Routing/StreamStateMachineTest.cxx
+++ b/Tests/Routing/StreamStateMachineTest.cxx
@@ -1,4 +1,7 @@
-// Every fault at every step of a generation, alone and in pairs.
+// Tests of the stream state machine with every fault at every step of a
+// generation, alone and in pairs. A fault must not make the caller miss a token
+// or receive it twice, make an engine compute a position twice in one attempt,
+// or leave load counted at a runner.
 #include "Routing/StreamSimulation.h"
 
 #include <string>
@@ -80,7 +83,8 @@
   undisturbed.Run();
   StreamSimulation silent(kTokens, 0, { { 7, StreamFault::KillBefore } });
   silent.Run();
-  // 4 token intervals of 25 ms, then the lost steps are computed again.
+  // The step times out after 4 token intervals of 25 ms; then the lost steps
+  // are computed again.
   const auto longer = silent.m_finishedAt - undisturbed.m_finishedAt;
   CHECK(longer >= std::chrono::milliseconds(100));
   CHECK(longer < std::chrono::milliseconds(130));
@@ -103,7 +107,7 @@
   CHECK(simulation.LoadsAreZero());
 }
 
-// One runner that holds the whole model, and a stream over it.
+// A stream over a single runner that holds the whole model.
 TEST_GROUP(SingleStageStream)
 {
   void setup() override
--- a/Tests/Routing/TestCluster.h
+++ b/Tests/Routing/TestCluster.h
@@ -1,4 +1,4 @@
-// Builds runner tables for the tests of this folder.
+// Builds runner tables for tests of routing.
 #pragma once
 
 #include <cstdint>
--- a/Tests/Routing/ToyModel.cxx
+++ b/Tests/Routing/ToyModel.cxx
@@ -1,4 +1,5 @@
-// A small pure model whose text changes when a layer is skipped or repeated.
+// Small deterministic model whose text changes when a layer is skipped or
+// repeated.
 #include "Routing/ToyModel.h"
 
 #include <sstream>
--- a/Tests/Routing/ToyModel.h
+++ b/Tests/Routing/ToyModel.h
@@ -1,4 +1,5 @@
-// A small pure model whose text changes when a layer is skipped or repeated.
+// Small deterministic model whose text changes when a layer is skipped or
+// repeated.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +18,7 @@
 // One value for each input position.
 using ToyValues = std::vector<std::uint64_t>;
 
-// The text of a whole generation, computed in one go without any stages.
+// Returns the text of a whole generation, computed in one pass without stages.
 std::string
 ComputeToyText(const std::vector<std::uint32_t>& aPrompt, std::size_t aTokens);
 
@@ -27,13 +28,15 @@
 public:
   ToyEngine(std::uint32_t aFirst, std::uint32_t aLast);
 
-  // Runs a step, answers a repeated one from memory, or reports a gap.
+  // Runs a step. Answers a repeated step from memory, and reports a gap if
+  // earlier positions are missing.
   StepResult Run(const EngineStep& aStep, std::size_t aStage);
-  // True when no position ran twice in one attempt.
+  // Returns true if no position ran twice in one attempt.
   bool RanOnce() const { return m_ranOnce; }
 
 private:
-  // Sums of each layer's inputs so far: what attention reads.
+  // Sum of each layer's inputs so far; stands for the cache that attention
+  // reads.
   struct Cache
   {
     std::vector<std::uint64_t> m_sums;
