--- a/Source/Routing/AdmissionQueue.cxx
+++ b/Source/Routing/AdmissionQueue.cxx
@@ -16,7 +16,7 @@
 constexpr double kMaxFirstTokenWaitShare = 0.7;
 // An account may compete by deadline while its virtual time leads the lowest
 // one by at most this many requests of the largest cost seen.
-constexpr double kMaxVirtualTimeLead = 2.0;
+constexpr double kMaxLeadRequests = 2.0;
 constexpr std::size_t kMaxCandidateAccounts = 32;
 constexpr Duration kNoCapacityRetry = std::chrono::seconds(1);
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(20);
@@ -261,7 +261,7 @@
   m_systemVirtualTime =
     std::max(m_systemVirtualTime, m_backloggedAccounts.begin()->m_virtualTime);
   const double limit = m_backloggedAccounts.begin()->m_virtualTime +
-                       kMaxVirtualTimeLead * m_largestCost;
+                       kMaxLeadRequests * m_largestCost;
   WaitingRequest* best = nullptr;
   std::size_t seen = 0;
   for (AccountQueue& account : m_backloggedAccounts) {
--- a/Source/Routing/HedgePolicy.cxx
+++ b/Source/Routing/HedgePolicy.cxx
@@ -56,9 +56,9 @@
 }
 
 std::optional<TimePoint>
-HedgePolicy::HedgeAt(TimePoint aSentAt,
-                     bool aIdempotent,
-                     TimePoint aDeadline) const
+HedgePolicy::HedgeTime(TimePoint aSentAt,
+                       bool aIdempotent,
+                       TimePoint aDeadline) const
 {
   if (!aIdempotent || m_total < kMinSamples) {
     return std::nullopt;
--- a/Source/Routing/HedgePolicy.h
+++ b/Source/Routing/HedgePolicy.h
@@ -21,9 +21,9 @@
   void RecordAnswer(Duration aLatency);
   // Returns the time at which a hedge of a call sent at aSentAt is due, or
   // std::nullopt if the call is not hedged.
-  std::optional<TimePoint> HedgeAt(TimePoint aSentAt,
-                                   bool aIdempotent,
-                                   TimePoint aDeadline) const;
+  std::optional<TimePoint> HedgeTime(TimePoint aSentAt,
+                                     bool aIdempotent,
+                                     TimePoint aDeadline) const;
   // Takes a token for a hedge that is due. Returns false if the retry budget is
   // exhausted; then no hedge is sent.
   bool Spend() { return m_budget.Spend(); }
--- a/Source/Routing/PlacementPlanner.cxx
+++ b/Source/Routing/PlacementPlanner.cxx
@@ -158,10 +158,11 @@
     }
   };
   for (const PlacementRunner& runner : aRunners) {
-    const bool valid = runner.m_holds && runner.m_holds->m_lastLayer < aLayers;
-    assignment.push_back(valid ? runner.m_holds : std::nullopt);
+    const bool valid =
+      runner.m_currentRange && runner.m_currentRange->m_lastLayer < aLayers;
+    assignment.push_back(valid ? runner.m_currentRange : std::nullopt);
     if (valid) {
-      addRange(*runner.m_holds);
+      addRange(*runner.m_currentRange);
     }
   }
   // A range that has lost its last runner lies between two remaining
@@ -238,7 +239,7 @@
   for (const std::size_t index : order) {
     const PlacementRunner& runner = aRunners[index];
     const bool changes =
-      chosen[index] && chosen[index] != runner.m_holds && !listed[index];
+      chosen[index] && chosen[index] != runner.m_currentRange && !listed[index];
     if (changes) {
       listed[index] = true;
       placement.m_orders.push_back(
--- a/Source/Routing/PlacementPlanner.h
+++ b/Source/Routing/PlacementPlanner.h
@@ -31,7 +31,7 @@
   // Number of layers that fit into the runner's memory.
   std::uint32_t m_memoryLayers = 0;
   // Range that the runner holds now; std::nullopt if none.
-  std::optional<LayerRange> m_holds;
+  std::optional<LayerRange> m_currentRange;
 };
 
 // An absolute order: the runner is to hold exactly m_range, whatever it holds
--- a/Tests/Routing/RetryBudgetTest.cxx
+++ b/Tests/Routing/RetryBudgetTest.cxx
@@ -128,19 +128,19 @@
 
 TEST(HedgePolicy, HedgesIdempotentCallsAfterThe95thPercentile)
 {
-  const auto due = m_policy.HedgeAt(kTestStart, true, m_deadline);
+  const auto due = m_policy.HedgeTime(kTestStart, true, m_deadline);
   CHECK(due.has_value());
   CHECK(*due >= kTestStart + std::chrono::milliseconds(5));
   CHECK(*due <= kTestStart + std::chrono::milliseconds(7));
-  CHECK_FALSE(m_policy.HedgeAt(kTestStart, false, m_deadline).has_value());
+  CHECK_FALSE(m_policy.HedgeTime(kTestStart, false, m_deadline).has_value());
 }
 
 TEST(HedgePolicy, NoHedgeWithoutSamplesTimeOrBudget)
 {
   HedgePolicy fresh(m_budget);
-  CHECK_FALSE(fresh.HedgeAt(kTestStart, true, m_deadline).has_value());
+  CHECK_FALSE(fresh.HedgeTime(kTestStart, true, m_deadline).has_value());
   const TimePoint soon = kTestStart + std::chrono::milliseconds(2);
-  CHECK_FALSE(m_policy.HedgeAt(kTestStart, true, soon).has_value());
+  CHECK_FALSE(m_policy.HedgeTime(kTestStart, true, soon).has_value());
   CHECK(m_policy.Spend());
   CHECK(m_policy.Spend());
   CHECK_FALSE(m_policy.Spend());
--- a/Tests/Routing/StreamSimulation.cxx
+++ b/Tests/Routing/StreamSimulation.cxx
@@ -52,7 +52,7 @@
 StreamSimulation::Run()
 {
   m_machine->OnTokenized(m_now, Prompt());
-  Drain();
+  PerformActions();
   constexpr int kMaxEvents = 10000;
   for (int i = 0; i < kMaxEvents; ++i) {
     const TimePoint due = m_machine->NextDeadline();
@@ -68,13 +68,13 @@
       m_now = due;
       m_machine->OnTick(m_now);
     }
-    Drain();
+    PerformActions();
   }
   m_attempts = m_machine->Attempt();
 }
 
 void
-StreamSimulation::Drain()
+StreamSimulation::PerformActions()
 {
   for (;;) {
     const std::vector<StreamAction> actions = m_machine->TakeActions();
@@ -227,15 +227,15 @@
 }
 
 bool
-StreamSimulation::RanOnce() const
+StreamSimulation::RanEachPositionOnce() const
 {
   return std::all_of(m_engines.begin(), m_engines.end(), [](const auto& aPair) {
-    return aPair.second.RanOnce();
+    return aPair.second.RanEachPositionOnce();
   });
 }
 
 bool
-StreamSimulation::LoadsAreZero() const
+StreamSimulation::AreLoadsZero() const
 {
   const auto& runners = m_table->Runners();
   return std::all_of(
--- a/Tests/Routing/StreamSimulation.h
+++ b/Tests/Routing/StreamSimulation.h
@@ -61,8 +61,8 @@
   std::uint32_t m_attempts = 0;
   TimePoint m_finishedAt;
 
-  bool RanOnce() const;
-  bool LoadsAreZero() const;
+  bool RanEachPositionOnce() const;
+  bool AreLoadsZero() const;
   static std::vector<std::uint32_t> Prompt() { return { 5, 9, 2 }; }
 
 private:
@@ -74,7 +74,7 @@
   void Deliver(const SendStep& aAction, Duration aDelay);
   void DoNeedChain(const NeedChain& aAction);
   void DoEmit(const EmitToken& aAction);
-  void Drain();
+  void PerformActions();
   StreamFault FaultAt(std::size_t aStep) const;
 
   boost::intrusive_ptr<const RunnerTable> m_table;
--- a/Tests/Routing/StreamStateMachineTest.cxx
+++ b/Tests/Routing/StreamStateMachineTest.cxx
@@ -30,8 +30,8 @@
   const char* label = what.c_str();
   CHECK_TEXT(simulation.m_finishes.size() == 1, label);
   CHECK_TEXT(simulation.m_indicesInOrder, label);
-  CHECK_TEXT(simulation.RanOnce(), label);
-  CHECK_TEXT(simulation.LoadsAreZero(), label);
+  CHECK_TEXT(simulation.RanEachPositionOnce(), label);
+  CHECK_TEXT(simulation.AreLoadsZero(), label);
   CHECK_TEXT(!simulation.m_sentAfterFinish, label);
   CHECK_TEXT(simulation.m_tokensWhileSlow <= 1, label);
   if (simulation.m_cancelled) {
@@ -104,7 +104,7 @@
   CHECK_FALSE(simulation.m_finishes[0].m_text.empty());
   STRCMP_EQUAL(ComputeToyText(StreamSimulation::Prompt(), 1).c_str(),
                simulation.m_text.c_str());
-  CHECK(simulation.LoadsAreZero());
+  CHECK(simulation.AreLoadsZero());
 }
 
 // A stream over a single runner that holds the whole model.
--- a/Tests/Routing/ToyModel.h
+++ b/Tests/Routing/ToyModel.h
@@ -32,7 +32,7 @@
   // earlier positions are missing.
   StepResult Run(const EngineStep& aStep, std::size_t aStage);
   // Returns true if no position ran twice in one attempt.
-  bool RanOnce() const { return m_ranOnce; }
+  bool RanEachPositionOnce() const { return m_ranOnce; }
 
 private:
   // Sum of each layer's inputs so far; stands for the cache that attention
