--- /dev/null
+++ b/Source/Routing/AccountQueue.h
@@ -0,0 +1,34 @@
+// Waiting requests of one client account at one resource, and the account's
+// virtual time for fair queueing.
+#pragma once
+
+#include <boost/intrusive/set.hpp>
+
+#include "Routing/WaitingRequest.h"
+
+namespace parsleycove {
+
+// Invariant: linked into the queue's set of accounts exactly while
+// m_waiting is not empty; m_virtualTime does not change while linked.
+class AccountQueue : public boost::intrusive::set_base_hook<>
+{
+public:
+  // Cost started so far, on the virtual clock that all accounts share.
+  double m_virtualTime = 0;
+  double m_waitingCost = 0;
+  RequestsByDeadline m_waiting;
+};
+
+struct HasLowerVirtualTime
+{
+  bool operator()(const AccountQueue& aLeft, const AccountQueue& aRight) const
+  {
+    return aLeft.m_virtualTime < aRight.m_virtualTime;
+  }
+};
+
+using AccountsByVirtualTime =
+  boost::intrusive::multiset<AccountQueue,
+                             boost::intrusive::compare<HasLowerVirtualTime>>;
+
+} // namespace parsleycove
--- a/Source/Routing/HedgePolicy.cxx
+++ b/Source/Routing/HedgePolicy.cxx
@@ -1,4 +1,4 @@
-// Decides when a second copy of an idempotent call is sent.
+// Decides when a hedge, a second copy of an idempotent call, is sent.
 #include "Routing/HedgePolicy.h"
 
 #include <algorithm>
@@ -11,7 +11,8 @@
 constexpr double kSmallestBucketNs = 50'000;
 constexpr double kBucketsPerOctave = 4.0;
 constexpr double kMinSamples = 20.0;
-// Older answers count half once this many are held.
+// All counts are halved once this many samples are held, so that recent answers
+// weigh more.
 constexpr double kMaxSamples = 1000.0;
 constexpr double kHedgedShare = 0.05;
 
@@ -23,10 +24,10 @@
 }
 
 void
-HedgePolicy::RecordAnswer(Duration aTaken)
+HedgePolicy::RecordAnswer(Duration aLatency)
 {
   const double ratio =
-    std::max(1.0, static_cast<double>(aTaken.count()) / kSmallestBucketNs);
+    std::max(1.0, static_cast<double>(aLatency.count()) / kSmallestBucketNs);
   const auto bucket =
     static_cast<std::size_t>(std::log2(ratio) * kBucketsPerOctave);
   m_counts[std::min(bucket, kBuckets - 1)] += 1.0;
@@ -55,9 +56,9 @@
 }
 
 std::optional<TimePoint>
-HedgePolicy::HedgeAt(TimePoint aSentAt,
-                     bool aIdempotent,
-                     TimePoint aDeadline) const
+HedgePolicy::HedgeTime(TimePoint aSentAt,
+                       bool aIdempotent,
+                       TimePoint aDeadline) const
 {
   if (!aIdempotent || m_total < kMinSamples) {
     return std::nullopt;
--- a/Source/Routing/LinkCosts.cxx
+++ b/Source/Routing/LinkCosts.cxx
@@ -1,10 +1,10 @@
-// What moving one step's activations costs between zones.
+// Latency of moving the activations of one step between zones.
 #include "Routing/LinkCosts.h"
 
 namespace parsleycove {
 
 Duration
-LinkCosts::OneWay(const std::string& aFrom, const std::string& aTo) const
+LinkCosts::OneWayLatency(const std::string& aFrom, const std::string& aTo) const
 {
   if (const auto found = m_pairs.find({ aFrom, aTo }); found != m_pairs.end()) {
     return found->second;
--- a/Source/Routing/WaitingRequest.h
+++ b/Source/Routing/WaitingRequest.h
@@ -1,4 +1,4 @@
-// A request in an admission queue.
+// A request that waits in an admission queue.
 #pragma once
 
 #include <cstdint>
@@ -9,27 +9,28 @@
 
 namespace parsleycove {
 
-class AccountShare;
+class AccountQueue;
 
 struct ByDeadline;
 struct ByLatestStart;
 
-// Invariant: linked into its account's order and the queue's order while it
-// waits, into neither once it was started, refused or withdrawn.
+// Invariant: while the request waits, it is linked into its account's queue and
+// into the resource's order by latest start. Once started, refused or
+// withdrawn, it is in neither.
 struct WaitingRequest
   : boost::intrusive::set_base_hook<boost::intrusive::tag<ByDeadline>>
   , boost::intrusive::set_base_hook<boost::intrusive::tag<ByLatestStart>>
 {
   std::uint64_t m_id = 0;
-  AccountShare* m_account = nullptr;
+  AccountQueue* m_account = nullptr;
   std::size_t m_class = 0;
   double m_cost = 0;
   TimePoint m_deadline;
-  // A start after this would most likely end late.
+  // A start after this time would most likely miss the request's targets.
   TimePoint m_latestStart;
 };
 
-struct IsDueEarlier
+struct HasEarlierDeadline
 {
   bool operator()(const WaitingRequest& aLeft,
                   const WaitingRequest& aRight) const
@@ -47,13 +48,13 @@
   }
 };
 
-using DeadlineOrder = boost::intrusive::multiset<
+using RequestsByDeadline = boost::intrusive::multiset<
   WaitingRequest,
   boost::intrusive::base_hook<
     boost::intrusive::set_base_hook<boost::intrusive::tag<ByDeadline>>>,
-  boost::intrusive::compare<IsDueEarlier>>;
+  boost::intrusive::compare<HasEarlierDeadline>>;
 
-using LatestStartOrder = boost::intrusive::multiset<
+using RequestsByLatestStart = boost::intrusive::multiset<
   WaitingRequest,
   boost::intrusive::base_hook<
     boost::intrusive::set_base_hook<boost::intrusive::tag<ByLatestStart>>>,
--- a/Tests/Routing/PlacementPlannerTest.cxx
+++ b/Tests/Routing/PlacementPlannerTest.cxx
@@ -1,4 +1,5 @@
-// Tests of placing layer ranges and of repairing a placement.
+// Tests of placing layer ranges from scratch and of rebalancing a placement
+// after a stage has lost all its runners.
 #include "Routing/PlacementPlanner.h"
 
 #include <map>
@@ -42,7 +43,7 @@
     for (PlacementRunner& runner : aRunners) {
       if (runner.m_id == order.m_id) {
         CHECK(order.m_range.Length() <= runner.m_memoryLayers);
-        runner.m_holds = order.m_range;
+        runner.m_currentRange = order.m_range;
       }
     }
   }
@@ -63,7 +64,7 @@
   }
   const Placement placement = m_planner.Plan(12, runners);
   CHECK_EQUAL(8, placement.m_orders.size());
-  // 8 runners x 1200 layer tokens a second over 12 layers.
+  // 8 runners x 1200 layer tokens per second over 12 layers.
   DOUBLES_EQUAL(800.0, placement.m_flow, 1e-6);
 }
 
@@ -90,9 +91,9 @@
 {
   auto runners = MakeMixedRunners();
   Apply(runners, m_planner.Plan(kLayers, runners));
-  const LayerRange lost = *runners[3].m_holds;
+  const LayerRange lost = *runners[3].m_currentRange;
   std::erase_if(runners, [&](const PlacementRunner& aRunner) {
-    return aRunner.m_holds == lost;
+    return aRunner.m_currentRange == lost;
   });
   const std::size_t left = runners.size();
   const Placement placement = m_planner.Plan(kLayers, runners);
