--- a/Source/Forwarding/ForwardCall.h
+++ b/Source/Forwarding/ForwardCall.h
@@ -13,7 +13,7 @@
 #include "Forwarding/ActivityWatch.h"
 #include "Forwarding/ConnectionPool.h"
 #include "Forwarding/EndpointConnection.h"
-#include "Routing/PathBook.h"
+#include "Routing/PathSelector.h"
 
 namespace parsleycove {
 
@@ -92,7 +92,7 @@
   // The tokens from here on run on another path, with the same first engine.
   void TakePath(StagePathPtr aPath);
   // The prompt has been read: the first event is here.
-  void NoteRead() { m_hold.NoteRead(); }
+  void NoteRead() { m_hold.MarkPrefillDone(); }
   const std::string& AttemptId() const { return m_subject.m_attemptId; }
   std::uint32_t ExpectedTokens() const { return m_subject.m_tokens; }
   // An order to take another path is under way.
@@ -130,7 +130,7 @@
   const CallSubject m_subject;
   // Null for plain calls.
   StagePathPtr m_path;
-  PathHold m_hold;
+  PathReservation m_hold;
   bool m_isRerouting = false;
   bool m_mayReroute = true;
   // Null once it went back to the pool.
--- a/Source/Forwarding/PathDoctor.cxx
+++ b/Source/Forwarding/PathDoctor.cxx
@@ -119,7 +119,7 @@
 void
 PathDoctor::Examine(TimePoint aNow, const Traffic& aTraffic)
 {
-  if (aTraffic.m_runner->m_load->Circuit(aNow) == CircuitState::Suspect) {
+  if (aTraffic.m_runner->m_load->Circuit(aNow) == CircuitState::Open) {
     return;
   }
   const TimePoint movedAt = MovedAt(*aTraffic.m_runner);
@@ -157,7 +157,7 @@
   const auto& stages = aStream.Path()->m_stages;
   return std::any_of(
     stages.begin(), stages.end(), [&](const PathStage& aStage) {
-      return aStage.m_runner->m_load->Circuit(aNow) == CircuitState::Suspect;
+      return aStage.m_runner->m_load->Circuit(aNow) == CircuitState::Open;
     });
 }
 
@@ -171,7 +171,7 @@
   for (const RunnerPtr& runner : table->Runners()) {
     const bool isOpen = runner->m_kind == state::EndpointKind::ManagedEngine &&
                         runner->m_phase == state::EndpointPhase::Ready &&
-                        runner->m_load->Circuit(aNow) == CircuitState::Ok;
+                        runner->m_load->Circuit(aNow) == CircuitState::Closed;
     if (!runner->m_isSuspected || !isOpen) {
       continue;
     }
@@ -204,7 +204,7 @@
   Patient& patient = m_patients[KeyOf(*aRunner)];
   patient.m_runner = aRunner;
   patient.m_isBelieved = true;
-  aRunner->m_load->Suspect(aNow, m_settings.m_belief);
+  aRunner->m_load->OpenCircuitFor(aNow, m_settings.m_belief);
   m_board->InvalidatePaths();
   LogSuspected(*aRunner, "another VM found it dead", m_settings.m_belief);
   LeaveDead(aNow);
@@ -249,14 +249,14 @@
     if (patient.m_isBelieved && !isListedDead) {
       // It has announced itself since.
       patient.m_isBelieved = false;
-      if (circuit != CircuitState::Ok) {
+      if (circuit != CircuitState::Closed) {
         Ask(aNow, patient.m_runner, Duration::zero());
       }
     } else if (circuit == CircuitState::HalfOpen && isListedDead &&
                m_board->HasLease(aNow)) {
       // Its next announcement will tell.
       patient.m_isBelieved = true;
-      patient.m_runner->m_load->Suspect(aNow, m_settings.m_belief);
+      patient.m_runner->m_load->OpenCircuitFor(aNow, m_settings.m_belief);
     } else if (circuit == CircuitState::HalfOpen) {
       Ask(aNow, patient.m_runner, Duration::zero());
     } else if (patient.m_pace > kSlowPace) {
@@ -348,10 +348,10 @@
   const bool paceChanged =
     (patient.m_pace > kSlowPace) != (aState.m_pace > kSlowPace);
   patient.m_pace = aState.m_pace;
-  const bool wasOk = aRunner->m_load->Circuit(now) == CircuitState::Ok;
-  aRunner->m_load->Clear(now);
+  const bool wasOk = aRunner->m_load->Circuit(now) == CircuitState::Closed;
+  aRunner->m_load->CloseCircuit(now);
   if (aState.m_pace > kSlowPace || paceChanged) {
-    aRunner->m_load->NotePace(now, aState.m_pace);
+    aRunner->m_load->RecordSlowdown(now, aState.m_pace);
   }
   if (aState.m_pace > kLeavePace) {
     for (const auto& weak : m_streams) {
@@ -388,7 +388,7 @@
   patient.m_runner = aRunner;
   patient.m_avoid = std::clamp(
     patient.m_avoid * 2, m_settings.m_avoid, m_settings.m_longestAvoid);
-  aRunner->m_load->Suspect(aNow, patient.m_avoid);
+  aRunner->m_load->OpenCircuitFor(aNow, patient.m_avoid);
   m_board->InvalidatePaths();
   m_board->ReportDead(*aRunner, aEvidence);
   patient.m_isBelieved = false;
--- a/Source/Forwarding/PlainForwarder.cxx
+++ b/Source/Forwarding/PlainForwarder.cxx
@@ -96,7 +96,7 @@
   bool MayTryAgain(CallVerdict aVerdict)
   {
     const bool kindAllows =
-      aVerdict == CallVerdict::NotRun || m_job.m_route->MayRepeat();
+      aVerdict == CallVerdict::NotRun || m_job.m_route->CanRetry();
     const bool countAllows = m_connectFailures < kMaxConnectFailures &&
                              m_runs < m_job.m_route->m_maxAttempts;
     // Where no byte has left, the first sending is still to come.
@@ -130,7 +130,7 @@
     call->Release(now);
     if (verdict == CallVerdict::Ended && m_job.m_end == RequestEnd::Answered) {
       FollowCircuit(*aRunner, "it answered a request", [&](TimePoint aNow) {
-        aRunner->m_load->Clear(aNow);
+        aRunner->m_load->CloseCircuit(aNow);
       });
       m_desk.m_usual += (now - startedAt - m_desk.m_usual) / kUsualWeight;
     }
@@ -139,7 +139,7 @@
 
   TimePoint ChooseDeadline(const RunnerPtr& aRunner)
   {
-    const bool mayMove = m_job.m_route->MayRepeat() &&
+    const bool mayMove = m_job.m_route->CanRetry() &&
                          m_runs < m_job.m_route->m_maxAttempts &&
                          HasOther(aRunner);
     if (!mayMove) {
@@ -168,8 +168,8 @@
     const bool isFailure = status >= kFirstServerError;
     if (isFailure && m_job.m_route->m_kind == RequestKind::Safe &&
         m_runs < m_job.m_route->m_maxAttempts && HasOther(aCall.Target()) &&
-        m_desk.m_retries.Left(BootClock::now(),
-                              m_services.m_board.Gateways()) >= 1) {
+        m_desk.m_retries.Remaining(BootClock::now(),
+                                   m_services.m_board.Gateways()) >= 1) {
       m_job.m_lastFault = "endpoint_failed";
       co_return CallVerdict::Failed;
     }
@@ -259,7 +259,7 @@
     m_job.m_lastFault = NameOfEnd(end);
     if (end == CallEnd::Overdue) {
       FollowCircuit(*aCall.Target(), NameOfEnd(end), [&](TimePoint aNow) {
-        aCall.Target()->m_load->RecordSilence(aNow, aCall.SentAt());
+        aCall.Target()->m_load->RecordTimeout(aNow, aCall.SentAt());
       });
       m_services.m_pool.Drop(*aCall.Target());
     } else {
@@ -290,9 +290,9 @@
                      Change aChange)
   {
     const TimePoint now = BootClock::now();
-    const bool wasOk = aRunner.m_load->Circuit(now) == CircuitState::Ok;
+    const bool wasOk = aRunner.m_load->Circuit(now) == CircuitState::Closed;
     aChange(now);
-    const bool isOk = aRunner.m_load->Circuit(now) == CircuitState::Ok;
+    const bool isOk = aRunner.m_load->Circuit(now) == CircuitState::Closed;
     if (isOk == wasOk) {
       return;
     }
--- a/Source/Routing/ChainHold.cxx
+++ b/Source/Routing/ChainHold.cxx
@@ -39,7 +39,7 @@
 {
   m_step = aStep;
   RunnerLoad& load = *RunnerAt(aStep.m_stage)->m_load;
-  load.NoteSent(aStep.m_sentAt);
+  load.RecordSend(aStep.m_sentAt);
   load.StartStep(aStep.m_count);
 }
 
--- a/Source/Routing/ExpectedCompletionPlanner.cxx
+++ b/Source/Routing/ExpectedCompletionPlanner.cxx
@@ -116,7 +116,7 @@
     return true;
   }
   const bool suspect =
-    load.Circuit(aNow) == CircuitState::Suspect || load.IsUnanswering(aNow);
+    load.Circuit(aNow) == CircuitState::Open || load.IsUnresponsive(aNow);
   const bool answered = aTrust == Trust::Unsuspected ||
                         aRequest.m_answeredSince == TimePoint{} ||
                         load.HasAnsweredSince(aRequest.m_answeredSince);
@@ -160,7 +160,7 @@
   const double streams = load.EstimateStreams(aNow) + 1.0;
   const double filled = streams / slots;
   const double rounds = std::max(kEmptyStepShare * (1.0 + filled), filled);
-  const double slowness = load.Slowness(aNow);
+  const double slowness = load.Slowdown(aNow);
   const double step = perToken * slots * rounds * slowness;
   double transfer = 0;
   if (m_settings.m_transport == ChainTransport::Relayed) {
--- a/Source/Routing/StreamMachine.cxx
+++ b/Source/Routing/StreamMachine.cxx
@@ -244,7 +244,7 @@
   if (aFault == StageFault::Failed) {
     failed->m_load->RecordFailure(aNow);
   } else if (aFault == StageFault::Silent) {
-    failed->m_load->RecordSilence(aNow, sent.m_sentAt);
+    failed->m_load->RecordTimeout(aNow, sent.m_sentAt);
     m_silentSince = sent.m_sentAt;
   }
   m_lastFailure = failed->m_id + ": " + aWhy;
--- a/Tests/Platform/ConfigDocumentTest.cxx
+++ b/Tests/Platform/ConfigDocumentTest.cxx
@@ -61,7 +61,7 @@
   CHECK(config->FindRoute("one.example", "/b/")->m_kind == RequestKind::Unsafe);
   const LayeredModel& model = *config->FindService("s1")->m_model;
   CHECK_EQUAL(80U, model.m_layers);
-  DOUBLES_EQUAL(16, model.FindKind("l4")->m_stepPace, 1e-9);
+  DOUBLES_EQUAL(16, model.FindKind("l4")->m_stepTimeFactor, 1e-9);
   CHECK_FALSE(config->FindService("s2")->m_model.has_value());
   STRCMP_EQUAL("t1", config->FindAccount("k1")->m_name.c_str());
   CHECK_EQUAL(4194304U, config->Limits().m_maxBodyBytes);
@@ -104,7 +104,7 @@
   RoutingReason reason;
   const auto config = platform::ConfigDocument().Decode(
     Replace(kDocument, "\"kind\":\"unsafe\"", "\"kind\":\"later\""), reason);
-  CHECK_FALSE(config->FindRoute("one.example", "/b/")->MayRepeat());
+  CHECK_FALSE(config->FindRoute("one.example", "/b/")->CanRetry());
 }
 
 TEST(ConfigDocument, WithoutTenantsNoKeyIsNeeded)
--- a/Tests/Routing/ChainPlannerTest.cxx
+++ b/Tests/Routing/ChainPlannerTest.cxx
@@ -295,7 +295,7 @@
   AddStages(2);
   const auto table = m_cluster.Build();
   RunnerLoad& silent = *table->FindRunner("2-0")->m_load;
-  silent.NoteSent(kTestStart);
+  silent.RecordSend(kTestStart);
   silent.StartStep(1);
   const TimePoint now = kTestStart + std::chrono::milliseconds(60);
   ExpectedCompletionPlanner planner(PlannerSettings{}, 1);
