--- a/Source/Routing/LayerCoverage.cxx
+++ b/Source/Routing/LayerCoverage.cxx
@@ -1,4 +1,4 @@
-// How many engines hold each layer of a model.
+// Counts how many engines hold each layer of a model.
 #include "Routing/LayerCoverage.h"
 
 #include <algorithm>
--- a/Source/Routing/LayerCoverage.h
+++ b/Source/Routing/LayerCoverage.h
@@ -1,4 +1,4 @@
-// How many engines hold each layer of a model.
+// Counts how many engines hold each layer of a model.
 #pragma once
 
 #include <cstdint>
@@ -20,12 +20,12 @@
   void Remove(const LayerSpan& aSpan) { Change(aSpan, -1); }
 
   int CountOf(std::uint32_t aLayer) const { return m_counts[aLayer]; }
-  // The first run of layers that the fewest engines hold.
+  // Returns the first contiguous range of layers that the fewest engines hold.
   LayerSpan FindLeastCovered() const;
-  // Of the layer that the fewest engines hold.
+  // Returns the count of the layer in aSpan that the fewest engines hold.
   int MinCount(const LayerSpan& aSpan) const;
-  // The span without layers at its ends that others hold too, shortened to
-  // aLength layers where it can be.
+  // Returns aSpan shortened to aLength layers, as far as the layers at its ends
+  // are held by other engines too.
   LayerSpan Trim(LayerSpan aSpan, std::uint32_t aLength) const;
 
 private:
--- a/Source/Routing/LayerLayout.cxx
+++ b/Source/Routing/LayerLayout.cxx
@@ -14,13 +14,15 @@
 namespace {
 
 constexpr double kBytesPerMb = 1e6;
-// Rooms that are tried, as parts of the wanted one.
+// Number of KV cache capacities that are tried, as equal fractions of the
+// wanted capacity.
 constexpr int kKvCapacitySteps = 16;
-// A shift that leaves more kvCapacity for requests may cost so many times what
-// the cheapest one does.
+// A shift that leaves more KV cache capacity may cost at most this many times
+// as much as the cheapest shift.
 constexpr double kMaxShiftCostFactor = 2;
 
-// Layers that an engine holds beside kvCapacity for that many tokens.
+// Returns how many layers fit on an engine in addition to a KV cache of that
+// many tokens.
 std::uint32_t
 MaxLayerCount(const LayeredModel& aModel,
               const LayoutHost& aHost,
@@ -88,15 +90,17 @@
   return CountCoverage(aModel, aHosts).MinCount({ 0, aModel.m_layers }) != 0;
 }
 
-// What an engine can do about layers that nobody holds.
+// A way in which one engine can cover layers that no engine holds.
 struct CoverageCandidate
 {
   LayerSpan m_span;
-  // It gives up what it holds.
+  // True if the engine gives up its present layers.
   bool m_isMove = false;
 
-  // Growing goes before moving, which breaks off what passes through; the
-  // later of two movers is of a slower kind.
+  // An engine that keeps its layers is preferred to one that moves, because a
+  // move breaks the streams on the engine. Of two engines that move, the later
+  // one in the order of the hosts has a slower accelerator kind and is
+  // preferred.
   bool IsBetterThan(const CoverageCandidate& aOther,
                     const LayerSpan& aUncovered) const
   {
@@ -234,7 +238,7 @@
   }
   LayerSpan span = FindOffloadPart(aModel.m_layers, hosts, aMaxLayers);
   if (!span.IsEmpty()) {
-    // What is left of its memory holds the layers that follow.
+    // The rest of the engine's memory holds the layers that follow.
     span.m_end = std::min(span.m_first + aMaxLayers, aModel.m_layers);
   }
   return span;
@@ -261,7 +265,8 @@
     if (fits == 0 || host.m_holds.Length() <= fits) {
       continue;
     }
-    // Borders that nobody needs to load for, or what others happen to hold.
+    // Prefer boundaries for which no engine has to load layers; otherwise drop
+    // layers that other engines hold.
     const LayerSpan span = whole.m_cost == 0 && !whole.m_spans.empty()
                              ? whole.m_spans[i]
                              : coverage.Trim(host.m_holds, fits);
@@ -293,12 +298,14 @@
     TotalLayerCapacity(aModel, aHosts, m_settings.m_minKvCapacityTokens) >=
       aModel.m_layers;
   if (!CoversAllLayers(aModel, planned)) {
-    // A uncovered that is not closed is as wide as before.
+    // A partly covered range is of no use to the chain, so the engines keep
+    // their layers.
     planned = filled;
   }
   if (!CoversAllLayers(aModel, planned) && canHoldAll &&
       !ShiftBoundaries(aModel, planned)) {
-    // Nothing passes through a chain with a uncovered, so all may move.
+    // No request passes through a chain with uncovered layers, so all engines
+    // may move.
     for (LayoutHost& host : planned) {
       host.m_holds = {};
     }
--- a/Source/Routing/LayerLayout.h
+++ b/Source/Routing/LayerLayout.h
@@ -1,8 +1,8 @@
 // Decides which layers of a model each engine holds.
 //
-// Patterns: the start of a fleet, engines that are added or come back empty,
-// and engines that are lost for good. Memory that holds no layers holds
-// requests, so an engine is never filled with layers alone.
+// Load and fault patterns: the start of a fleet, engines that are added or come
+// back empty, and engines that are lost for good. Memory without layers is the
+// KV cache for requests, so an engine is never filled with layers alone.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +14,19 @@
 
 namespace parsleycove {
 
-// An engine that may be given layers.
+// An engine that can be ordered to hold layers.
 struct LayoutHost
 {
   std::string m_id;
   std::uint64_t m_incarnation = 0;
   std::string m_kind;
   std::string m_zone;
-  // What it holds or has been ordered to hold; empty: nothing.
+  // The layers that the engine holds or has been ordered to hold; empty if
+  // none.
   LayerSpan m_holds;
-  // It says that it holds them.
+  // True if the engine reports that it holds these layers.
   bool m_isReported = true;
-  // It was ordered to hold them a short time ago.
+  // True if the engine was ordered to hold these layers a short time ago.
   bool m_isLoading = false;
 };
 
@@ -38,38 +39,40 @@
 
 struct LayoutSettings
 {
-  // Room for requests that an engine keeps beside its layers where the zone
-  // has the memory, in tokens: 120 requests of 900 tokens. A zone's chain has
-  // about 65 in progress at the daily rate, and half as many more when another
-  // zone's chain is broken. What is left holds layers a second time.
+  // KV cache capacity, in tokens, that an engine keeps in addition to its
+  // layers if the zone has enough memory: 120 requests of 900 tokens. A zone's
+  // chain has about 65 requests in progress at the daily rate, and half as many
+  // more if another zone's chain is broken. Memory above this capacity holds a
+  // second copy of layers.
   double m_kvCapacityTokens = 110'000;
-  // The least room; zones that could not keep it are put together.
+  // Minimum KV cache capacity in tokens; zones that cannot keep it are grouped
+  // with others.
   double m_minKvCapacityTokens = 40'000;
 };
 
-// Every zone holds the whole model by itself where its memory allows: what
+// Each zone holds the whole model by itself if its memory allows: the data that
 // passes between zones is a thousand times the size of a request's text, and
-// its links are shared by all chains.
+// the links between zones are shared by all chains.
 //
-// Layers that nobody holds any more go to an engine whose own are held twice,
-// or to the neighbours of the gap; where that is not enough, the borders
-// between the zone's engines move, and only if that fails its layers are laid
-// out anew.
+// Layers that no engine holds any more go to an engine whose own layers are
+// held twice, or to the neighbours of the uncovered range. If that is not
+// enough, the boundaries between the zone's engines move. Only if that fails,
+// the zone's layers are laid out from scratch.
 //
-// Closing a gap leaves engines with little room for requests, and the tightest
-// engine of a chain decides how many streams the chain takes. So an engine that
-// comes back takes over a part of what they hold, and they give it up.
+// Covering uncovered layers leaves engines with little KV cache capacity, and
+// the engine with the least capacity limits how many streams its chain accepts.
+// So an engine that comes back takes over a part of the layers of those
+// engines, and they give that part up.
 //
-// While engines of a zone load, no other one of it moves: the next plan would
-// be made for a zone that does not exist yet, and orders that cross each other
-// empty the zone for many seconds.
+// While engines of a zone load layers, no other engine of the zone moves: the
+// next plan would assume a layout that does not exist yet, and conflicting
+// orders leave the zone without a complete chain for many seconds.
 //
-// An engine without layers takes the first run of layers that the fewest
-// engines of its zone hold; so the first engines complete a chain, and later
-// ones another. Fast kinds come first. Engines that hold something keep it
-// otherwise.
-// There is no order for a kind that the model does not know or that cannot
-// hold a layer.
+// An engine without layers takes the first range of layers that the fewest
+// engines of its zone hold, so the first engines complete one chain and later
+// engines the next one. Engines of fast accelerator kinds are assigned first.
+// In all other cases engines keep their layers. No orders are given for a kind
+// that the model does not list or that cannot hold a single layer.
 class LayerLayout
 {
 public:
@@ -82,7 +85,7 @@
                                 bool aCanMoveBoundaries = true) const;
 
 private:
-  // Zones whose engines make chains together.
+  // Each group holds the engines of the zones that form chains together.
   using Groups = std::vector<std::vector<LayoutHost>>;
 
   Groups GroupByZone(const LayeredModel& aModel,
@@ -93,21 +96,24 @@
                  std::vector<LayoutOrder>& aOrders) const;
   void AssignEmptyEngines(const LayeredModel& aModel,
                           std::vector<LayoutHost>& aHosts) const;
-  // Layers of an engine that has less room for requests than the others; an
-  // empty engine takes them over. Empty: there is none.
+  // Returns layers that an empty engine can take over from an engine with less
+  // KV cache capacity than aKvCapacityTokens; empty if there are none.
   LayerSpan FindOffloadSpan(const LayeredModel& aModel,
                             const std::vector<LayoutHost>& aHosts,
                             std::uint32_t aMaxLayers,
                             double aKvCapacityTokens) const;
-  // Engines with too little room give up what others hold too.
+  // Makes engines with too little KV cache capacity give up layers that other
+  // engines hold too.
   void TrimOverloadedEngines(const LayeredModel& aModel,
                              std::vector<LayoutHost>& aHosts) const;
   void CoverUncoveredLayers(const LayeredModel& aModel,
                             std::vector<LayoutHost>& aHosts) const;
-  // Borders between engines move; false: the engines cannot hold the model.
+  // Moves boundaries between engines until all layers are held. Returns false
+  // if the engines cannot hold the model.
   bool ShiftBoundaries(const LayeredModel& aModel,
                        std::vector<LayoutHost>& aHosts) const;
-  // Most room at which the engines hold the whole model.
+  // Returns the largest KV cache capacity, in tokens, at which the engines can
+  // hold the whole model.
   double ChooseKvCapacity(const LayeredModel& aModel,
                           const std::vector<LayoutHost>& aHosts) const;
 
--- a/Source/Routing/LayerPath.cxx
+++ b/Source/Routing/LayerPath.cxx
@@ -1,4 +1,4 @@
-// Finds the fastest way through all layers of a model, once and in order.
+// Finds the fastest path that runs each layer of a model once and in order.
 #include "Routing/LayerPath.h"
 
 #include <algorithm>
@@ -12,12 +12,13 @@
 constexpr double kUnreached = std::numeric_limits<double>::max();
 constexpr std::size_t kNone = std::numeric_limits<std::size_t>::max();
 
-// The best known way that ends previous a layer on a given engine.
+// The cheapest known partial path whose last part runs on a given engine and
+// ends before a given layer.
 struct Arrival
 {
   double m_cost = kUnreached;
   std::size_t m_parts = 0;
-  // Where the last part began, and the engine of the part previous it.
+  // First layer of the last part, and the engine of the part before it.
   std::uint32_t m_from = 0;
   std::size_t m_previous = kNone;
 };
@@ -71,7 +72,8 @@
                                                         : m_costs.m_zoneHopMs;
   }
 
-  // The cheapest engine to come from, with the cost up to and with the hop.
+  // Returns the engine of the cheapest preceding part, with the cost including
+  // the hop to aHost; kNone if there is none.
   std::pair<std::size_t, double> FindPredecessor(std::size_t aHost,
                                                  std::uint32_t aFrom) const
   {
@@ -140,13 +142,15 @@
   const std::vector<PathHost>& m_hosts;
   const PathCosts& m_costs;
   const std::vector<bool>& m_excluded;
-  // Layers at which some engine's range begins or ends.
+  // Layers at which the range of an engine begins or ends.
   std::set<std::uint32_t> m_boundaries;
-  // By the layer previous which a part ends, and the engine of that part.
+  // Indexed by the layer before which a part ends, then by the engine of that
+  // part.
   std::vector<std::vector<Arrival>> m_arrivals;
 };
 
-// The engine between two parts of an engine that appears twice; kNone: none.
+// Returns the engine that follows the first part of an engine that appears
+// twice; kNone if no engine does.
 std::size_t
 FindDetour(const std::vector<PathPart>& aPath)
 {
--- a/Source/Routing/LayerPath.h
+++ b/Source/Routing/LayerPath.h
@@ -1,4 +1,4 @@
-// Finds the fastest way through all layers of a model, once and in order.
+// Finds the fastest path that runs each layer of a model once and in order.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,19 @@
 
 namespace parsleycove {
 
-// An engine with the layers it holds, as a path sees it.
+// An engine with the layers that it holds, as input to the path search.
 struct PathHost
 {
   LayerSpan m_holds;
   std::uint32_t m_zone = 0;
-  // One token step through all layers of the model on this engine.
+  // Time of one decode step through all layers of the model on this engine.
   double m_stepMs = 1;
-  // Factor of 1 or more for an engine that should rather be avoided; 0: it
-  // must not be used.
+  // Cost factor: more than 1 for an engine that should be avoided, 0 for one
+  // that must not be used.
   double m_penalty = 1;
 };
 
-// Part of a path: the engine at m_host runs the layers of m_span.
+// Part of a path: the engine at index m_host runs the layers of m_span.
 struct PathPart
 {
   std::size_t m_host = 0;
@@ -30,12 +30,12 @@
 
 struct PathCosts
 {
-  // Passing a token on to another engine in the zone.
+  // Time to pass a token to another engine in the same zone.
   double m_hopMs = 0.15;
-  // The same to another zone. A prompt of 770 tokens takes 14 ms of a link
-  // that all chains share, so a path stays in its zone where it can.
+  // Time to pass a token to another zone. A prompt of 770 tokens takes 14 ms on
+  // a link that all chains share, so a path stays in its zone if possible.
   double m_zoneHopMs = 12;
-  // Longest path that engines take.
+  // Longest path, in engines, that engines accept.
   std::size_t m_maxParts = 32;
 };
 
@@ -46,7 +46,7 @@
               const std::vector<PathHost>& aHosts,
               const PathCosts& aCosts);
 
-// What one token takes on the path.
+// Returns the time of one decode step on the path, in ms.
 double
 EstimateStepMs(std::uint32_t aLayers,
                const std::vector<PathHost>& aHosts,
--- a/Source/Routing/LayerShift.cxx
+++ b/Source/Routing/LayerShift.cxx
@@ -1,4 +1,5 @@
-// Moves the borders between the engines of a chain so that it holds all layers.
+// Moves the boundaries between the engines of a chain so that the chain holds
+// all layers.
 #include "Routing/LayerShift.h"
 
 #include <algorithm>
@@ -20,22 +21,23 @@
   return end > first ? end - first : 0;
 }
 
-// Cheapest way by which the hosts so far hold the layers up to a border.
+// Dynamic programming state: the cheapest way in which the first hosts hold all
+// layers up to a boundary.
 struct PrefixAssignment
 {
   std::uint64_t m_cost = kUnreached;
-  // Where the last host's part begins.
+  // First layer of the last host's part.
   std::uint32_t m_from = 0;
 };
 
-// Layers [m_first, m_end) for each host, in the order of the hosts.
+// Layers [m_first, m_end) of each host, in the order of the hosts.
 struct Parts
 {
   std::vector<LayerSpan> m_parts;
   std::uint64_t m_cost = kUnreached;
 };
 
-// Cheapest parts in this order of the hosts.
+// Returns the cheapest division of the layers among the hosts in this order.
 Parts
 Partition(std::uint32_t aLayers, const std::vector<ShiftHost>& aOrdered)
 {
@@ -73,7 +75,8 @@
   return parts;
 }
 
-// The part, and as many of the host's present layers as fit beside it.
+// Returns the part extended by as many of the host's present layers as fit in
+// addition.
 LayerSpan
 IncludeHeldLayers(const LayerSpan& aPart, const ShiftHost& aHost)
 {
@@ -97,7 +100,8 @@
   return span;
 }
 
-// Hosts that hold something, by where their layers begin.
+// Returns the indexes of the hosts that hold layers, ordered by their first
+// layer.
 std::vector<std::size_t>
 OrderHosts(const std::vector<ShiftHost>& aHosts)
 {
--- a/Source/Routing/LayerShift.h
+++ b/Source/Routing/LayerShift.h
@@ -1,8 +1,9 @@
-// Moves the borders between the engines of a chain so that it holds all layers.
+// Moves the boundaries between the engines of a chain so that the chain holds
+// all layers.
 //
-// Pattern: an engine is lost for good, and what is left of its zone just has
-// the memory for the model. Laying the zone out anew makes every engine load
-// all of its layers; engines that keep their order load a few each.
+// Fault pattern: an engine is lost for good, and the rest of its zone has just
+// enough memory for the model. A layout from scratch makes every engine load
+// all of its layers; engines that keep their order load only a few layers each.
 #pragma once
 
 #include <cstdint>
@@ -23,28 +24,31 @@
 
 struct ShiftHost
 {
-  // Empty: it takes no part, unless it is free.
+  // The layers that the host holds. A host without layers gets none unless
+  // m_isFree is set.
   LayerSpan m_holds;
-  // Most layers that it may hold.
+  // Maximum number of layers that the host may hold.
   std::uint32_t m_maxLayers = 0;
-  // Holds nothing and takes any part; what it loads costs nothing.
+  // True for a host that holds nothing and can take any part; the layers that
+  // it loads cost nothing.
   bool m_isFree = false;
 };
 
 struct LayerShift
 {
-  // In the order of the hosts; empty: the hosts cannot hold all layers.
+  // Layers of each host, in the order of the hosts; empty if the hosts cannot
+  // hold all layers.
   std::vector<LayerSpan> m_spans;
-  // Sum of the squares of the layers that each engine loads: engines load at
-  // the same time, so the longest load counts most.
+  // Sum of the squares of the number of layers that each engine loads: engines
+  // load at the same time, so the longest load counts most.
   std::uint64_t m_cost = 0;
 };
 
 LayerShift
 ShiftLayers(std::uint32_t aLayers, const std::vector<ShiftHost>& aHosts);
 
-// The part that a free host takes so that all others can keep to their most
-// without loading anything; empty: there is none.
+// Returns the part that a free host can take so that all other hosts keep to
+// their maximum without loading a layer; empty if there is none.
 LayerSpan
 FindOffloadPart(std::uint32_t aLayers,
                 const std::vector<ShiftHost>& aHosts,
--- a/Source/Routing/PathSelector.cxx
+++ b/Source/Routing/PathSelector.cxx
@@ -1,4 +1,4 @@
-// The paths through a service's engines, and which one a request takes.
+// Computes paths through a service's engines and selects one for each request.
 #include "Routing/PathSelector.h"
 
 #include <algorithm>
@@ -12,22 +12,24 @@
 
 namespace {
 
-// An engine of an earlier path costs this much more in the next one.
+// Engines used by an earlier path cost this many times as much in the next one.
 constexpr double kReusePenalty = 8;
 constexpr double kBytesPerMb = 1e6;
-// About as long as a stream lasts: a VM of a large fleet hears of an engine's
-// load once in a second or two.
+// Half-life of reported load. About the duration of a stream: on a VM of a
+// large fleet, load reports of an engine arrive only once in a second or two.
 constexpr double kStreamSeconds = 3;
-// Engines that differ by less than this are drawn from: the streams of all
-// gateways look for otherLoad at the same moment.
+// Among engines whose costs differ by less than this fraction the choice is
+// random: the streams of all gateways look for replacement engines at the same
+// moment.
 constexpr double kRerouteSpread = 1;
-// Engines slower than this step in for no other one.
+// Engines with a higher slowdown factor do not replace a failed one.
 constexpr double kMaxReplacementSlowdown = 2.5;
-// Engines read a prompt in parts, one with each step.
+// Engines prefill a prompt in chunks of this size, one with each decode step.
 constexpr double kTokensPerStep = 512;
-// A path that leaves its zone is taken only where no other one has kvCapacity.
+// High enough that a path that leaves its zone is chosen only if all others are
+// full.
 constexpr double kCrossingCost = 10;
-// A full path is none; more than all other costs together.
+// Higher than all other costs together, so that a full path is never chosen.
 constexpr double kFullCost = 1e6;
 
 double
@@ -44,7 +46,7 @@
   return perToken > 0 ? std::max(0.0, free / perToken) : 0;
 }
 
-// Per token, for some layers on one engine.
+// Returns the time in ms to prefill one token on the layers of aSpan.
 double
 PrefillMs(const LayeredModel& aModel,
           const LayerSpan& aSpan,
@@ -202,7 +204,8 @@
     }
     host.m_holds = { first - aUncovered.m_first, end - aUncovered.m_first };
     host.m_zone = runner->m_zoneIndex;
-    // Reading the tokens so far takes longest.
+    // Prefilling the tokens of the request so far takes longest, so only
+    // prefill time counts.
     const AcceleratorKind* kind = m_model.FindKind(runner->m_accelerator);
     host.m_stepMs = kind->m_prefillTimeFactor *
                     std::max(1.0, runner->m_load->Slowdown(aNow)) * part;
@@ -297,7 +300,7 @@
                                  const StagePath& aPath,
                                  const PathRequest& aRequest)
 {
-  // The first engine tells how many requests it has of all gateways.
+  // The first engine reports how many requests it has from all gateways.
   const RunnerLoad& first = *aPath.First().m_load;
   const double streams = first.EstimateStreams(aNow, kStreamSeconds);
   const double share = FleetLoadFactor(aNow, aPath, aRequest.m_gateways);
@@ -366,7 +369,8 @@
                    const PathUtilization& aUtilization,
                    double aFastestStepMs) const
 {
-  // A stream stays longer on a slow path, so the same fill is worth less.
+  // A stream occupies a slow path longer, so the same utilization costs more
+  // there.
   double cost =
     aUtilization.m_fraction * aPath.m_stepMs / aFastestStepMs +
     aUtilization.m_prefillBacklogMs / m_settings.m_prefillBacklogScaleMs;
--- a/Source/Routing/PathSelector.h
+++ b/Source/Routing/PathSelector.h
@@ -1,7 +1,8 @@
-// The paths through a service's engines, and which one a request takes.
+// Computes paths through a service's engines and selects one for each request.
 //
-// Patterns: a fast chain that carries the daily load and fills up in a burst;
-// an engine that falls silent under many streams; engines that return.
+// Load and fault patterns: a fast chain that carries the daily load and fills
+// up in a burst; an engine that becomes unresponsive while it carries many
+// streams; engines that return after a failure.
 #pragma once
 
 #include <cstdint>
@@ -22,29 +23,30 @@
 {
   RunnerPtr m_runner;
   LayerSpan m_span;
-  // Room for requests beside the layers, in tokens.
+  // KV cache capacity that the layers leave for requests, in tokens.
   double m_kvCapacityTokens = 0;
 };
 
-// A way through all layers.
+// A path through all layers of the model.
 //
-// Invariant: unchanged once built; stages are in order and without gaps.
+// Invariant: unchanged once built; the stages are in layer order and leave no
+// layer uncovered.
 class StagePath : public boost::intrusive_ref_counter<StagePath>
 {
 public:
   std::vector<PathStage> m_stages;
-  // What one token is expected to take.
+  // Expected time of one decode step over the whole path.
   double m_stepMs = 0;
-  // What the slowest stage takes to read one token of a prompt, and all stages
-  // together.
+  // Time to prefill one prompt token: on the slowest stage, and summed over all
+  // stages.
   double m_prefillMs = 0;
   double m_totalPrefillMs = 0;
-  // How often it passes from one availability zone to another.
+  // Number of hops from one availability zone to another.
   std::size_t m_crossings = 0;
 
   const Runner& First() const { return *m_stages.front().m_runner; }
   bool Uses(const std::string& aRunner) const;
-  // Ids of the engines with their layers, for logs.
+  // Returns the ids of the engines with their layers, for logs.
   std::string Describe() const;
 };
 
@@ -52,110 +54,124 @@
 
 struct PathRequest
 {
-  // Prompt and answer together.
+  // Tokens of the prompt and the expected answer together.
   std::uint32_t m_tokens = 0;
-  // Gateways that use the same engines; each counts its own work only.
+  // Gateways that use the same engines; each gateway counts only its own work.
   std::uint32_t m_gateways = 1;
-  // Runners that the request was sent to already.
+  // Ids of runners that the request was already sent to.
   std::vector<std::string> m_excluded;
-  // Empty: every path is allowed.
+  // If empty, every path is allowed.
   std::function<bool(const StagePath&)> m_isAllowed;
-  // Of m_tokens, those that are read before the first event.
+  // The part of m_tokens that is prefilled before the first event.
   std::uint32_t m_promptTokens = 0;
-  // Of a stream that begins anew; 0: a new request. The other gateways' streams
-  // do so at the same moment, so the seed spreads them.
+  // Seed of a stream that restarts on another path; 0 for a new request. The
+  // streams of the other gateways restart at the same moment, so the seed
+  // spreads them over the paths.
   std::uint64_t m_restartSeed = 0;
-  // Most time between two events; zero: no target.
+  // Event gap target: the longest time between two events; zero if there is no
+  // target.
   Duration m_gapTarget{};
 };
 
-// A stream whose path has lost stages.
+// Asks for replacements of the failed stages of a stream's path.
 struct RerouteRequest
 {
-  // Tokens to be read again by the engines that step in.
+  // Tokens that the replacement engines have to prefill again.
   std::uint32_t m_tokens = 0;
-  // Engines that have refused to step in.
+  // Ids of engines to avoid: engines that refused to act as a replacement, and
+  // stages to replace although their circuit is closed.
   std::vector<std::string> m_excluded;
-  // Of the request: spreads the streams of all gateways over equal engines.
+  // Derived from the request; spreads the streams of all gateways over equally
+  // suitable engines.
   std::uint64_t m_seed = 0;
 };
 
-// How far a path is filled, with what decided it.
+// Utilization of a path, with the resource that determines it.
 struct PathUtilization
 {
-  // Of the tightest engine's room for tokens, or of the first one's slots;
-  // 1: full.
+  // Used fraction of the bottleneck engine's KV cache capacity, or of the first
+  // engine's slots; 1 means full.
   double m_fraction = 0;
-  // Null: the first engine's slots decide.
+  // The engine with the highest KV cache utilization; nullptr if the first
+  // engine's slots are the bottleneck.
   RunnerPtr m_bottleneck;
-  // Streams of all gateways through the first engine, as far as known here.
+  // Streams of all gateways through the first engine, as far as this process
+  // knows.
   double m_streams = 0;
-  // Until the prompts of all gateways have been read, this one's included, as
-  // far as known here.
+  // Time until the pending prompts of all gateways and this request's prompt
+  // are prefilled, as far as this process knows.
   double m_prefillBacklogMs = 0;
 };
 
 struct PathChoice
 {
-  // Null: no path through all layers, or none with room.
+  // nullptr if no path covers all layers or every path is full.
   StagePathPtr m_path;
-  // Paths exist, but every one is full.
+  // True if paths exist, but all of them are full.
   bool m_isFull = false;
-  // Of the path that was taken or that came next.
+  // Utilization of the chosen path, or of the cheapest one if every path is
+  // full.
   PathUtilization m_utilization;
 };
 
 struct PathSelectorSettings
 {
   std::size_t m_paths = 6;
-  // Paths whose streams miss the target for pauses are taken where the others
-  // are full: an answer in time is worth about twice a late one.
+  // Cost of a path whose streams miss the event gap target. Such a path is
+  // chosen when the others are full: an answer in time is worth about twice a
+  // late one.
   double m_gapTargetMissCost = 5;
-  // A path within the own zone is used up to this fill; then the least filled
-  // within any zone; then the least filled of all.
+  // A path within this VM's zone is used up to this utilization; above it, the
+  // least utilized path within any single zone, then the least utilized path of
+  // all.
   double m_ownZoneUtilizationLimit = 0.6;
-  // The same for the prompts that wait to be read: half of the users' target
-  // for the first event.
+  // Largest prefill backlog at which a path within this VM's zone is still
+  // preferred: half of the users' target for the first event.
   double m_ownZoneBacklogLimitMs = 250;
-  // Prompts that take so long to read weigh as much as a path's whole room: a
-  // stream that begins anew misses its target for pauses after 200 ms, half of
-  // which is gone by then.
+  // Prefill backlog that costs as much as a fully utilized KV cache. A stream
+  // that restarts misses its event gap target after 200 ms, and half of that
+  // time has passed by then.
   double m_prefillBacklogScaleMs = 100;
-  // The own zone's path is passed over where another zone's is faster by more
-  // than this: an engine on it has slowed down.
+  // The path within this VM's zone is not preferred if its decode step takes
+  // more than this many times that of the fastest path: one of its engines has
+  // slowed down.
   double m_ownZoneSlowdownLimit = 1.6;
-  // Part of the room and of the slots that new requests may fill; answers grow
-  // beyond their expected length.
+  // Fraction of the KV cache capacity and of the slots that new requests may
+  // use; answers can grow beyond their expected length.
   double m_utilizationLimit = 0.95;
-  // Paths are planned again this often while circuits may have changed.
+  // Paths are computed again at this interval, because circuits may have
+  // changed.
   Duration m_replanInterval = std::chrono::milliseconds(200);
   PathCosts m_costs;
 };
 
-// Used by one thread.
+// Not thread-safe; used by one thread.
 class PathSelector
 {
 public:
   explicit PathSelector(std::string aZone = {},
                         PathSelectorSettings aSettings = {});
 
-  // The engines of the service, with the model that they hold in ranges.
+  // Sets the engines of the service and the model whose layers they hold.
   void SetEngines(const LayeredModel& aModel,
                   const std::vector<RunnerPtr>& aEngines);
-  // A circuit has changed: the next choice plans anew.
+  // Makes the next choice compute the paths again, for example after a circuit
+  // has changed.
   void Invalidate() { m_plannedAt = TimePoint{}; }
 
   PathChoice Choose(TimePoint aNow, const PathRequest& aRequest);
   const std::vector<StagePathPtr>& Paths() const { return m_paths; }
 
-  // The path with other engines for its lost stages; sound stages keep their
-  // layers, and with them what they hold of the request. Null: the first stage
-  // is lost, or some layers have no other engine.
+  // Returns the path with its failed stages replaced by other engines. Healthy
+  // stages keep their layers, and so the KV cache of the request. Returns
+  // nullptr if the first stage has failed, if no engine can replace some
+  // layers, or if the new path would have too many stages.
   StagePathPtr Reroute(TimePoint aNow,
                        const StagePath& aBroken,
                        const RerouteRequest& aRequest) const;
 
-  // What decides whether a stream takes aRerouted or begins anew.
+  // Returns the estimates that decide whether a stream continues on aRerouted
+  // or restarts on another path.
   RerouteLoad EstimateRerouteLoad(TimePoint aNow,
                                   const StagePath& aBroken,
                                   const StagePath& aRerouted,
@@ -163,9 +179,11 @@
 
 private:
   void Plan(TimePoint aNow);
-  // Circuit closed, not shunned, and of a kind that the model knows.
+  // Returns true if the circuit is closed, the engine is not ejected, and the
+  // model lists its accelerator kind.
   bool IsUsable(TimePoint aNow, const Runner& aRunner) const;
-  // As hosts for the layers of aUncovered alone, counted from 0.
+  // Returns the engines as hosts for the layers of aUncovered only, counted
+  // from 0.
   std::vector<PathHost> MakeReplacementHosts(
     TimePoint aNow,
     const LayerSpan& aUncovered,
@@ -174,27 +192,29 @@
   StagePathPtr MakePath(TimePoint aNow,
                         const std::vector<PathHost>& aHosts,
                         const std::vector<PathPart>& aParts) const;
-  // Step of the fastest path within a zone; 1 where there is none.
+  // Returns the decode step time, in ms, of the fastest path within a single
+  // zone, or 1 if there is no such path.
   double FastestStepMs(TimePoint aNow, const PathRequest& aRequest) const;
   static bool IsAllowed(TimePoint aNow,
                         const StagePath& aPath,
                         const PathRequest& aRequest);
-  // Less is better.
+  // Returns the cost of the path; lower is better.
   double Cost(const StagePath& aPath,
               const PathUtilization& aUtilization,
               double aFastestStepMs) const;
-  // Its streams miss the target for pauses at every event.
+  // Returns true if the usual event gap of the path's streams exceeds the
+  // request's event gap target.
   static bool IsMissingGapTarget(TimePoint aNow,
                                  const StagePath& aPath,
                                  const PathRequest& aRequest);
-  // The part of the cost that the other gateways' choices will add.
+  // Returns a random part of the cost that the choices of the other gateways
+  // will add.
   double SampleConcurrentCost(TimePoint aNow,
                               const StagePath& aPath,
                               const PathRequest& aRequest) const;
-  // Some engine of the path refuses new work.
+  // Returns true if an engine of the path refuses new work.
   static bool HasEjectedEngine(TimePoint aNow, const StagePath& aPath);
-  // With the request.
-  // The work of all gateways through the first engine, as a multiple of this
+  // Returns the load of all gateways on the first engine as a multiple of this
   // gateway's own; at least 1.
   static double FleetLoadFactor(TimePoint aNow,
                                 const StagePath& aPath,
@@ -207,17 +227,19 @@
   const PathSelectorSettings m_settings;
   LayeredModel m_model;
   std::vector<RunnerPtr> m_engines;
-  // Fastest first; later ones avoid the engines of earlier ones.
+  // Fastest first; later paths avoid the engines of earlier ones.
   std::vector<StagePathPtr> m_paths;
   TimePoint m_plannedAt{};
 };
 
-// The tokens of a request on every stage of its path, as long as it lives.
+// Reserves the tokens of a request on every stage of its path until it is
+// destroyed.
 class PathReservation
 {
 public:
   PathReservation() = default;
-  // aPendingPrefill: of these, to be read before the first event.
+  // aPendingPrefill: the part of aTokens that is prefilled before the first
+  // event.
   PathReservation(StagePathPtr aPath,
                   std::uint32_t aTokens,
                   std::uint32_t aPendingPrefill = 0);
@@ -227,7 +249,7 @@
   PathReservation(const PathReservation&) = delete;
   PathReservation& operator=(const PathReservation&) = delete;
 
-  // The prompt has been read.
+  // Removes the prompt from the first engine's pending prefill.
   void MarkPrefillDone();
 
 private:
--- a/Source/Routing/RerouteShare.cxx
+++ b/Source/Routing/RerouteShare.cxx
@@ -1,4 +1,5 @@
-// How many streams with a lost stage are led round it; the others begin anew.
+// Computes the share of streams with a failed stage that is rerouted around
+// that stage; the other streams restart on other paths.
 #include "Routing/RerouteShare.h"
 
 #include <algorithm>
--- a/Source/Routing/RerouteShare.h
+++ b/Source/Routing/RerouteShare.h
@@ -1,8 +1,10 @@
-// How many streams with a lost stage are led round it; the others begin anew.
+// Computes the share of streams with a failed stage that is rerouted around
+// that stage; the other streams restart on other paths.
 //
-// Pattern: a chain that carries a hundred streams loses an engine, and one
-// engine of its availability zone can step in. It reads 3 ms for each, so the
-// last ones would stand still for 0.3 s while all other chains idle.
+// Fault pattern: a chain that carries a hundred streams loses an engine, and
+// one engine of its availability zone can replace the failed one. Its prefill
+// takes 3 ms per stream, so the last streams would wait for 0.3 s while all
+// other chains are idle.
 #pragma once
 
 #include <cstddef>
@@ -11,20 +13,22 @@
 
 struct RerouteLoad
 {
-  // Streams of all gateways with the same lost stage, as far as known here.
+  // Streams of all gateways with the same failed stage, as far as this process
+  // knows.
   double m_streams = 0;
-  // What the engines that step in take to read one of them.
+  // Prefill time of one stream on the slowest replacement engine.
   double m_replacementPrefillMs = 0;
-  // What the slowest stage of another path takes for the same.
+  // Prefill time of one stream on the slowest stage of another path.
   double m_restartPrefillMs = 0;
-  // From the start of a path to its end for one of them.
+  // Prefill time of one stream over all stages of another path.
   double m_pathPrefillMs = 0;
-  // Other paths, none of which shares its first engine with another.
+  // Number of other paths, counted by distinct first engines.
   std::size_t m_paths = 0;
 };
 
-// In [0, 1]: with this share the last stream that is led round and the last one
-// that begins anew have been read at the same moment. 1 without other paths.
+// Returns the share in [0, 1] at which the prefill of the last rerouted stream
+// and that of the last restarted stream end at the same moment. Returns 1 if
+// there are no other paths.
 double
 ComputeRerouteShare(const RerouteLoad& aLoad);
 
--- a/Source/Routing/RoutingConfig.cxx
+++ b/Source/Routing/RoutingConfig.cxx
@@ -1,4 +1,5 @@
-// Routes, services and client accounts of one version of the configuration.
+// Holds the routes, services and client accounts of one version of the
+// configuration.
 #include "Routing/RoutingConfig.h"
 
 #include <utility>
--- a/Source/Routing/RoutingConfig.h
+++ b/Source/Routing/RoutingConfig.h
@@ -1,4 +1,5 @@
-// Routes, services and client accounts of one version of the configuration.
+// Holds the routes, services and client accounts of one version of the
+// configuration.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +17,15 @@
 
 namespace parsleycove {
 
-// What may be repeated.
+// Whether a request may be sent again.
 enum class RequestKind
 {
   // May run more than once.
   Safe,
   // Runs at most once for each attempt of a caller.
   Unsafe,
-  // A series of events; may be repeated only where it is resumable.
+  // The answer is a series of events; may be sent again only if the route is
+  // resumable.
   Streaming,
 };
 
@@ -40,15 +42,16 @@
   // Begins and ends with a slash.
   std::string m_prefix;
   RequestKind m_kind = RequestKind::Unsafe;
-  // Longest time that a caller is kept waiting.
+  // Longest time that a caller waits for the answer.
   Duration m_timeout{};
-  // Time to the whole answer, or to a stream's first event.
+  // Target time to the whole answer, or to the first event of a stream.
   Duration m_target{};
-  // Longest pause between two events of a stream; zero: none is set.
+  // Event gap target: longest pause between two events of a stream; zero if
+  // there is no target.
   Duration m_gapTarget{};
   // 0 is the most urgent.
   std::uint32_t m_priority = 0;
-  // Endpoints that one attempt of a caller may be sent to.
+  // Largest number of endpoints that one attempt of a caller may be sent to.
   std::uint32_t m_maxAttempts = 1;
   bool m_allowsAnonymous = false;
   bool m_isResumable = false;
@@ -61,24 +64,25 @@
   }
 };
 
-// One kind of accelerator under a service's engines.
+// One kind of accelerator that a service's engines use.
 struct AcceleratorKind
 {
   std::string m_name;
   double m_memoryMb = 0;
-  // Factors on the time of a step and on the time to read a prompt.
+  // Factors on the time of a decode step and on the time to prefill a prompt.
   double m_stepTimeFactor = 1;
   double m_prefillTimeFactor = 1;
 };
 
-// The model that a service's engines hold in ranges of layers.
+// The model whose layers a service's engines hold in ranges.
 struct LayeredModel
 {
   std::uint32_t m_layers = 0;
   double m_layerMb = 0;
-  // Memory of one token of a request over all layers.
+  // KV cache memory of one token of a request over all layers.
   double m_tokenBytes = 0;
-  // One token step through all layers on an engine of pace 1.
+  // Time of one decode step through all layers on an engine with a step time
+  // factor of 1.
   double m_stepMs = 0;
   double m_prefillTokensPerSecond = 0;
   std::vector<AcceleratorKind> m_kinds;
@@ -90,7 +94,7 @@
 {
   std::string m_name;
   std::string m_healthPath;
-  // Connections that one endpoint accepts from all callers; 0: not limited.
+  // Connections that one endpoint accepts from all callers; 0 if not limited.
   std::uint32_t m_maxConnections = 0;
   std::optional<LayeredModel> m_model;
 };
@@ -99,11 +103,11 @@
 {
   std::string m_name;
   std::vector<std::string> m_keys;
-  // Goes before the route's priority.
+  // Takes precedence over the route's priority.
   std::optional<std::uint32_t> m_priority;
 };
 
-// Bounds on what a caller sends.
+// Limits on the data that a caller sends.
 struct CallerLimits
 {
   std::size_t m_maxHeaderBytes = 16ULL * 1024;
@@ -112,13 +116,13 @@
   Duration m_idleTimeout = std::chrono::seconds(15);
 };
 
-// A configuration as it was read, not yet checked.
+// A configuration as decoded, before it is checked.
 struct RoutingDraft
 {
   std::uint64_t m_version = 0;
   std::vector<RouteRule> m_routes;
   std::vector<ServiceRule> m_services;
-  // Callers need a key only where this is true.
+  // If true, callers need a key.
   bool m_hasAccounts = false;
   std::vector<AccountRule> m_accounts;
   CallerLimits m_limits;
@@ -127,18 +131,18 @@
 enum class RoutingError
 {
   None,
-  // The text cannot be read in full.
+  // The text cannot be decoded completely.
   Unreadable,
-  // A rule of the configuration is broken; the text names it.
+  // The configuration breaks a rule; the reason's text names the rule.
   Invalid,
 };
 using RoutingReason = Reason<RoutingError>;
 
 // A checked configuration with its indexes.
 //
-// Invariant: every service of a route is listed, no two routes share host and
-// prefix, no two accounts share a key, weights of a route add up to more than
-// zero, and no time-out is zero.
+// Invariant: every service that a route uses is listed, no two routes share
+// host and prefix, no two accounts share a key, the weights of a route add up
+// to more than zero, and no time-out is zero.
 class RoutingConfig : public boost::intrusive_ref_counter<RoutingConfig>
 {
 public:
@@ -155,7 +159,8 @@
     return m_draft.m_services;
   }
 
-  // The route with the longest prefix that begins the path; null if none.
+  // Returns the route whose prefix is the longest one at the start of the path,
+  // or nullptr if there is none.
   const RouteRule* FindRoute(std::string_view aHost,
                              std::string_view aPath) const;
   const AccountRule* FindAccount(std::string_view aKey) const;
@@ -170,18 +175,19 @@
   bool IndexAccounts(RoutingReason& aReason);
 
   RoutingDraft m_draft;
-  // Keys point into m_draft.
+  // The keys point into m_draft.
   std::unordered_map<std::string_view, PrefixMap> m_hosts;
   std::unordered_map<std::string_view, const AccountRule*> m_keys;
   std::unordered_map<std::string_view, const ServiceRule*> m_services;
 };
 
-// Reads the text of a configuration document.
+// Decodes the text of a configuration document.
 class RoutingConfigCodec
 {
 public:
   virtual ~RoutingConfigCodec() = default;
-  // Null with a reason that names what is wrong and what was expected.
+  // Returns nullptr on failure and sets aReason to the fault and the expected
+  // value.
   virtual boost::intrusive_ptr<const RoutingConfig> Decode(
     std::string_view aText,
     RoutingReason& aReason) const = 0;
--- a/Source/Routing/Runner.h
+++ b/Source/Routing/Runner.h
@@ -1,4 +1,4 @@
-// One announced endpoint as the deciding code sees it.
+// Describes one announced endpoint to the code that routes requests.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,8 @@
 
 // An engine with a range of layers, or an endpoint of a plain service.
 //
-// Invariant: unchanged once its table is published; only m_load moves.
+// Invariant: unchanged once its table is published; only the object at m_load
+// changes.
 class Runner : public boost::intrusive_ref_counter<Runner>
 {
 public:
@@ -35,20 +36,21 @@
   std::uint32_t m_firstLayer = 0;
   // Inclusive.
   std::uint32_t m_lastLayer = 0;
-  // Some gateway found it dead, and it has not announced itself since.
+  // True if a gateway reported the endpoint as failed and it has not announced
+  // itself since.
   bool m_isSuspected = false;
-  // Managed engines: layers held from m_firstLayer on.
+  // For managed engines: number of layers held from m_firstLayer on.
   std::uint32_t m_layerCount = 0;
   double m_tokensPerSecond = 0;
   std::uint32_t m_slots = 0;
-  // Hash of the id, the same in every process.
+  // Hash of m_id; equal in all processes.
   std::uint64_t m_idHash = 0;
   boost::intrusive_ptr<RunnerLoad> m_load;
 };
 
 using RunnerPtr = boost::intrusive_ptr<const Runner>;
 
-// Hashes an id or prefix the same way in every process.
+// Hashes an id or prefix to a value that is equal in all processes.
 std::uint64_t
 HashId(std::string_view aId);
 
--- a/Source/Routing/RunnerLoad.cxx
+++ b/Source/Routing/RunnerLoad.cxx
@@ -1,4 +1,4 @@
-// What this process knows of one endpoint's load and health.
+// Tracks load and health of one endpoint, as far as this process knows them.
 #include "Routing/RunnerLoad.h"
 
 #include <algorithm>
@@ -12,21 +12,24 @@
 constexpr double kMinSlowdown = 1.0 / 64;
 constexpr double kMaxSlowdown = 64.0;
 constexpr double kSlowdownHalfLifeSeconds = 2.0;
-// Steps below this many positions measure the round trip, others the rate.
+// Steps with fewer positions measure the round trip, larger ones the service
+// time per position.
 constexpr std::uint32_t kPrefillPositions = 8;
-// Without an answer for so long, an endpoint gets no further work.
+// An endpoint that has not answered for this many round trips, and at least
+// this long, gets no more work.
 constexpr std::int64_t kUnresponsiveRoundTrips = 3;
 constexpr std::int64_t kMinUnresponsiveNs = 50'000'000;
 constexpr std::uint32_t kFailuresToOpen = 2;
-// One event weighs so little that a single pause of all streams of a batch is
-// forgotten after a few dozen events.
+// Weight of one event gap is 1 over this value: a single pause of all streams
+// of a batch is forgotten after a few dozen events.
 constexpr std::int64_t kEventGapDivisor = 16;
-// Engines change their pace within seconds.
+// Older averages are ignored, because the speed of an engine changes within
+// seconds.
 constexpr std::int64_t kMaxEventGapAgeNs = 1'000'000'000;
 constexpr std::int64_t kFirstOpenNs = 500'000'000;
 constexpr std::uint32_t kMaxOpenDoublings = 6;
 constexpr std::int64_t kProbeWindowNs = 1'000'000'000;
-// A refusal this soon after the last one follows it.
+// A refusal that comes this soon after the end of the last ejection doubles it.
 constexpr std::int64_t kEjectMemoryNs = 500'000'000;
 constexpr std::uint32_t kMaxEjectDoublings = 3;
 
--- a/Source/Routing/RunnerLoad.h
+++ b/Source/Routing/RunnerLoad.h
@@ -1,4 +1,4 @@
-// What this process knows of one endpoint's load and health.
+// Tracks load and health of one endpoint, as far as this process knows them.
 #pragma once
 
 #include <atomic>
@@ -10,7 +10,10 @@
 
 namespace parsleycove {
 
-// A small circuit: work flows, is kept away, or one probe may try again.
+// State of the endpoint's circuit breaker.
+//
+// Closed: work flows. Open: the endpoint gets no work. HalfOpen: one probe may
+// try the endpoint again.
 enum class CircuitState
 {
   Closed,
@@ -20,60 +23,66 @@
 
 // Load and health of one endpoint id and incarnation, shared by all threads.
 //
-// Counts of this process are exact; whatever a reply or report said is a hint
+// Counts of this process are exact; load from replies and reports is a hint
 // that loses weight with its age.
 class RunnerLoad : public boost::intrusive_ref_counter<RunnerLoad>
 {
 public:
-  // A stream or call was assigned to the endpoint, or has left it.
+  // Counts a stream or call that was assigned to the endpoint or has left it.
   void AddStream() { m_streams.fetch_add(1, std::memory_order_relaxed); }
   void RemoveStream() { m_streams.fetch_sub(1, std::memory_order_relaxed); }
 
   // Every StartStep is followed by exactly one FinishStep or AbandonStep.
   void StartStep(std::uint32_t aPositions);
-  // Records a good reply: aExpected is what was predicted when it was sent.
+  // Records a successful reply; aExpected is the step time that was predicted
+  // when the step was sent.
   void FinishStep(TimePoint aNow,
                   std::uint32_t aPositions,
                   Duration aTaken,
                   Duration aExpected);
   void AbandonStep(std::uint32_t aPositions);
 
-  // Tells that a step leaves now; called before its StartStep.
+  // Records that a step is being sent; called before its StartStep.
   void RecordSend(TimePoint aNow);
-  // True while steps are out and no answer came for several round trips.
+  // Returns true if steps are outstanding and no answer has come for several
+  // round trips.
   bool IsUnresponsive(TimePoint aNow) const;
-  // True when a step was answered well after that time.
+  // Returns true if a step was answered successfully after aTime.
   bool HasAnsweredSince(TimePoint aTime) const;
 
-  // When it last answered; the clock's epoch: never.
+  // Returns the time of the last answer, or the clock's epoch if there was
+  // none.
   TimePoint AnsweredAt() const
   {
     return TimePoint(Duration(Load(m_answeredAtNs)));
   }
 
-  // Takes the load that a reply or a report carried.
+  // Records the load from a reply or a report.
   void RecordReport(TimePoint aNow,
                     std::uint32_t aQueued,
                     std::uint32_t aRunning);
-  // Counts a failure; repeated ones keep work away for a growing time.
+  // Counts a failure; consecutive failures open the circuit for a growing time.
   void RecordFailure(TimePoint aNow);
 
-  // Counts a step sent at aSentAt that stayed unanswered. When nothing else
-  // was answered since, the endpoint is kept away at once.
+  // Counts a step that was sent at aSentAt and got no answer. If no other step
+  // was answered since then, the circuit opens at once.
   void RecordTimeout(TimePoint aNow, TimePoint aSentAt);
 
   CircuitState Circuit(TimePoint aNow) const;
-  // Takes the one probe of a half-open circuit; true when the caller has it.
+  // Claims the single probe of a half-open circuit. Returns true if the caller
+  // may send work, also if the circuit is closed.
   bool ClaimProbe(TimePoint aNow);
 
-  // Memory for requests that this process has assigned, in tokens.
+  // Adds to the KV cache memory that this process has assigned to requests, in
+  // tokens; a negative value releases it.
   void ReserveTokens(std::int32_t aTokens)
   {
     m_reservedTokens.fetch_add(aTokens, std::memory_order_relaxed);
   }
   std::int32_t ReservedTokens() const { return Load(m_reservedTokens); }
-  // Prompts that this process has sent it as the first engine of a path and
-  // that have no answer yet, in tokens.
+  // Adds to the prompt tokens that this process has sent to the endpoint as the
+  // first engine of a path and that have no answer yet; a negative value
+  // removes them.
   void AddPendingPrefill(std::int32_t aTokens)
   {
     m_pendingPrefillTokens.fetch_add(aTokens, std::memory_order_relaxed);
@@ -82,41 +91,45 @@
   {
     return Load(m_pendingPrefillTokens);
   }
-  // Keeps work away for this long, whatever happened before.
+  // Opens the circuit for this long, regardless of earlier failures.
   void OpenCircuitFor(TimePoint aNow, Duration aFor);
-  // It refuses new work for now; what it has goes on. Refusals that follow one
-  // another double the time, up to eight times.
+  // Outlier ejection: the endpoint refuses new work for now, while its present
+  // work continues. Refusals that follow one another double the time, up to
+  // eight times its length.
   void EjectFor(TimePoint aNow, Duration aFor);
   bool IsEjected(TimePoint aNow) const
   {
     return aNow.time_since_epoch().count() < Load(m_ejectedUntilNs);
   }
-  // The endpoint has shown that it is alive.
+  // Closes the circuit, because the endpoint has shown that it is alive.
   void CloseCircuit(TimePoint aNow);
-  // The same, without a look at the circuit.
+  // Records that the endpoint answered; leaves the circuit as it is.
   void RecordAnswer(TimePoint aNow)
   {
     m_answeredAtNs.store(aNow.time_since_epoch().count(),
                          std::memory_order_relaxed);
   }
-  // An event came this long after the one before it, on a stream whose path
+  // Records the time between two consecutive events of a stream whose path
   // begins at this engine.
   void RecordEventGap(TimePoint aNow, Duration aGap);
-  // The usual one; zero: not known of late.
+  // Returns the moving average of the event gap, or zero if no recent gap is
+  // known.
   Duration EventGap(TimePoint aNow) const;
-  // The endpoint says that its work takes this many times as long.
+  // Records the slowdown factor that the endpoint reports: its work takes this
+  // many times as long.
   void RecordSlowdown(TimePoint aNow, double aSlowdown);
 
   std::int32_t Streams() const { return Load(m_streams); }
   std::int32_t Steps() const { return Load(m_steps); }
   std::int32_t Positions() const { return Load(m_positions); }
-  // Work of all gateways: the own streams plus what others were reported to
-  // have there, faded by the age of the report.
-  // aHalfLifeSeconds: about as long as work stays there.
+  // Returns the estimated streams of all gateways: those of this process plus
+  // those that reports attribute to others, weighted by the age of the report.
+  // aHalfLifeSeconds: about the time that work stays at the endpoint.
   double EstimateStreams(TimePoint aNow, double aHalfLifeSeconds = 0.5) const;
-  // Observed over predicted step time; 1 when nothing is known.
+  // Returns the slowdown factor, observed over predicted step time; 1 if
+  // nothing is known.
   double Slowdown(TimePoint aNow) const;
-  // Zero until a step has been answered.
+  // Returns zero until a step has been answered.
   Duration RoundTrip() const { return Duration(Load(m_roundTripNs)); }
   Duration ServicePerPosition() const { return Duration(Load(m_positionNs)); }
 
@@ -142,17 +155,17 @@
   std::atomic<std::int64_t> m_eventGapAtNs{ 0 };
   std::atomic<double> m_slowdown{ 1.0 };
   std::atomic<std::int64_t> m_slowdownAtNs{ 0 };
-  // When a step was last answered well; zero: never.
+  // Time of the last answer; zero if there was none.
   std::atomic<std::int64_t> m_answeredAtNs{ 0 };
-  // Since when nothing was answered while steps were out.
+  // Time since which no answer has come while steps were outstanding.
   std::atomic<std::int64_t> m_waitingSinceNs{ 0 };
-  // Reported work that is not this process's own.
+  // Reported streams that do not belong to this process.
   std::atomic<std::int32_t> m_reportedOtherStreams{ 0 };
-  // Zero: never reported.
+  // Zero if no report has come.
   std::atomic<std::int64_t> m_reportedAtNs{ 0 };
   // Failures since the last success.
   std::atomic<std::uint32_t> m_failures{ 0 };
-  // Zero: the circuit is closed.
+  // Zero if the circuit is closed.
   std::atomic<std::int64_t> m_openUntilNs{ 0 };
 };
 
--- a/Source/Routing/RunnerTable.cxx
+++ b/Source/Routing/RunnerTable.cxx
@@ -1,4 +1,4 @@
-// The endpoints of one cluster view, arranged for planning.
+// Indexes the endpoints of one cluster view for planning.
 #include "Routing/RunnerTable.h"
 
 #include <algorithm>
--- a/Source/Routing/RunnerTable.h
+++ b/Source/Routing/RunnerTable.h
@@ -1,4 +1,4 @@
-// The endpoints of one cluster view, arranged for planning.
+// Indexes the endpoints of one cluster view for planning.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,8 @@
 
 namespace parsleycove {
 
-// Runners with the same range: positions m_begin to m_end of a RunnerSet.
+// Runners with the same layer range, at positions [m_begin, m_end) of a
+// RunnerSet.
 struct RangeGroup
 {
   std::uint32_t m_firstLayer = 0;
@@ -37,21 +38,23 @@
 struct ModelRunners
 {
   std::string m_name;
-  // The configured version; empty: whichever most runners hold.
+  // The configured version; if empty, the version that most runners hold is
+  // served.
   std::string m_version;
   std::uint32_t m_layers = 0;
   std::vector<RunnerSet> m_versions;
 
-  // Returns null when no Ready runner holds that version.
+  // Returns nullptr if no Ready runner holds that version.
   const RunnerSet* FindVersion(std::string_view aVersion) const;
-  // Returns the configured version's runners, or null.
+  // Returns the runners of the served version, or nullptr if there are none.
   const RunnerSet* FindServedVersion() const;
 };
 
 // Built once for each cluster view and published to all threads.
 //
-// Invariant: never changed after Build, except for the RunnerLoad objects,
-// which an unchanged endpoint id and incarnation keeps from table to table.
+// Invariant: unchanged after Build, except for the RunnerLoad objects. An
+// endpoint whose id and incarnation are unchanged keeps its RunnerLoad from
+// table to table.
 class RunnerTable : public boost::intrusive_ref_counter<RunnerTable>
 {
 public:
@@ -59,16 +62,16 @@
     const ClusterView& aView,
     const RunnerTable* aPrevious);
 
-  // Returns null when the model is not configured.
+  // Returns nullptr if the model is not configured.
   const ModelRunners* FindModel(std::string_view aName) const;
-  // Returns the Ready endpoints of a service, plain ones and managed engines;
-  // null when there are none.
+  // Returns the Ready endpoints of a service, both plain endpoints and managed
+  // engines, or nullptr if there are none.
   const std::vector<RunnerPtr>* FindService(std::string_view aName) const;
-  // Returns any endpoint, Leaving ones too, or null.
+  // Returns the endpoint, also if it is Leaving, or nullptr if there is none.
   const Runner* FindRunner(std::string_view aId) const;
 
   const std::vector<std::string>& Zones() const { return m_zones; }
-  // Returns Zones().size() for a zone that no endpoint is in.
+  // Returns Zones().size() for a zone without endpoints.
   std::uint32_t ZoneIndex(std::string_view aZone) const;
   const std::vector<RunnerPtr>& Runners() const { return m_all; }
   const std::vector<ModelRunners>& Models() const { return m_models; }
@@ -81,7 +84,7 @@
   std::vector<std::string> m_zones;
   std::vector<RunnerPtr> m_all;
   std::vector<ModelRunners> m_models;
-  // Keys point into m_all and m_models.
+  // The keys point into m_all and m_models.
   std::unordered_map<std::string_view, const Runner*> m_byId;
   std::unordered_map<std::string_view, std::size_t> m_modelIndex;
   std::unordered_map<std::string, std::vector<RunnerPtr>> m_services;
--- a/Source/Routing/ServicePicker.cxx
+++ b/Source/Routing/ServicePicker.cxx
@@ -1,4 +1,4 @@
-// Choice of an endpoint for one call to a plain service.
+// Selects an endpoint for one call to a plain service.
 #include "Routing/ServicePicker.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Load, in calls for each slot, that going to another zone is worth.
+// Cost of a call to another zone, expressed as load in calls per slot.
 constexpr double kOtherZonePenalty = 0.05;
 constexpr double kOpenCircuitPenalty = 1e6;
 
@@ -58,7 +58,8 @@
                    ": expected a ready endpoint that was not excluded");
     return nullptr;
   }
-  // A suspect endpoint is taken only when no other is left.
+  // An endpoint with an open circuit is picked only if no other endpoint is
+  // left.
   const auto hasOpenCircuit = [aNow](const RunnerPtr* aRunner) {
     return (*aRunner)->m_load->Circuit(aNow) == CircuitState::Open;
   };
--- a/Source/Routing/ServicePicker.h
+++ b/Source/Routing/ServicePicker.h
@@ -1,4 +1,4 @@
-// Choice of an endpoint for one call to a plain service.
+// Selects an endpoint for one call to a plain service.
 #pragma once
 
 #include <string>
@@ -13,7 +13,7 @@
 enum class PickError
 {
   None,
-  // No Ready endpoint, or all of them were excluded.
+  // No endpoint is Ready, or all of them were excluded.
   NoEndpoint,
 };
 using PickReason = Reason<PickError>;
@@ -25,13 +25,14 @@
   std::string m_ownZone;
 };
 
-// Picks the less loaded of two random endpoints, own zone first when equal.
+// Picks the less loaded of two random endpoints; on equal load, the one in this
+// VM's availability zone.
 class ServicePicker
 {
 public:
   explicit ServicePicker(std::uint64_t aSeed);
 
-  // Returns null when there is none; LastReason() says why.
+  // Returns nullptr if there is no endpoint; LastReason() then says why.
   RunnerPtr Pick(TimePoint aNow,
                  const RunnerTable& aTable,
                  const PickRequest& aRequest);
@@ -44,7 +45,7 @@
 
   Random m_random;
   PickReason m_reason;
-  // Scratch space, kept to save allocations.
+  // Reused between calls to save allocations.
   std::vector<const RunnerPtr*> m_candidates;
 };
 
--- a/Source/Routing/WindowedBudget.cxx
+++ b/Source/Routing/WindowedBudget.cxx
@@ -1,4 +1,5 @@
-// A retry budget that all gateways keep together, each with its own part.
+// Limits the retries of all gateways together; each gateway spends its own part
+// of the budget.
 #include "Routing/WindowedBudget.h"
 
 #include <algorithm>
@@ -7,8 +8,8 @@
 
 namespace {
 
-// Part of the slack that a process has at its start; less than the caution
-// leaves.
+// Fraction of the slack that is available at the start of a process; less than
+// the safety factor leaves unused.
 constexpr double kInitialSlackFraction = 0.12;
 
 } // namespace
@@ -23,7 +24,7 @@
 void
 WindowedBudget::Advance(TimePoint aNow)
 {
-  // The slices before the present one cover a whole window together.
+  // The slices before the current one cover a whole window together.
   const Duration length = m_settings.m_window / (kSlices - 1);
   const std::int64_t slice = aNow.time_since_epoch().count() /
                              std::max<Duration::rep>(length.count(), 1);
--- a/Source/Routing/WindowedBudget.h
+++ b/Source/Routing/WindowedBudget.h
@@ -1,7 +1,8 @@
-// A retry budget that all gateways keep together, each with its own part.
+// Limits the retries of all gateways together; each gateway spends its own part
+// of the budget.
 //
-// Pattern: endpoints fail or refuse on a large scale, and every gateway would
-// send its requests a second time.
+// Fault pattern: endpoints fail or refuse requests on a large scale, and every
+// gateway would send all its requests a second time.
 #pragma once
 
 #include <array>
@@ -14,19 +15,20 @@
 struct WindowedBudgetSettings
 {
   Duration m_window = std::chrono::seconds(10);
-  // Repeats allowed for each request of the window.
+  // Retries allowed for each request of the window.
   double m_ratio = 0.2;
-  // Repeats of all gateways together that need no request.
+  // Retries of all gateways together that are allowed regardless of the number
+  // of requests.
   double m_slack = 100;
-  // Part of both that is used; the rest covers gateways that have joined and
-  // are not counted yet.
+  // Fraction of both limits that is used; the rest covers gateways that have
+  // joined but are not counted yet.
   double m_safetyFactor = 0.85;
 };
 
-// What an earlier process of this VM spent is not known, so the slack grows
-// over the first window.
+// Retry budget over a sliding window. The retries of an earlier process of this
+// VM are not known, so the slack grows over the first window.
 //
-// Invariant: in any window the granted repeats are at most the ratio of the
+// Invariant: in any window the granted retries are at most the ratio of the
 // window's requests plus this gateway's part of the slack.
 class WindowedBudget
 {
@@ -35,8 +37,8 @@
                           TimePoint aStartedAt = {});
 
   void RecordRequest(TimePoint aNow);
-  // Pays for one repeat; false when the budget is spent. aGateways: size of
-  // the fleet, at least 1.
+  // Spends one retry. Returns false if the budget is exhausted. aGateways:
+  // number of gateways in the fleet, at least 1.
   bool Spend(TimePoint aNow, std::uint32_t aGateways);
   double Remaining(TimePoint aNow, std::uint32_t aGateways);
 
--- a/Tests/Routing/EngineFleet.cxx
+++ b/Tests/Routing/EngineFleet.cxx
@@ -1,5 +1,5 @@
-// A fleet of engines like those of the two users, for tests of layers and
-// paths.
+// Builds a fleet of engines modelled on those of the two users, for tests of
+// layer layout and path selection.
 #include "Routing/EngineFleet.h"
 
 #include <set>
--- a/Tests/Routing/EngineFleet.h
+++ b/Tests/Routing/EngineFleet.h
@@ -1,5 +1,5 @@
-// A fleet of engines like those of the two users, for tests of layers and
-// paths.
+// Builds a fleet of engines modelled on those of the two users, for tests of
+// layer layout and path selection.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace parsleycove {
 
-// 80 layers of 1,750 MB; three kinds of accelerators.
+// Returns a model with 80 layers of 1,750 MB and three kinds of accelerators.
 LayeredModel
 MakeModel();
 
@@ -21,14 +21,14 @@
   int m_count = 0;
 };
 
-// 5 fast, 15 middle and 18 small engines over three zones.
+// Returns 5 fast, 15 middle and 18 small engines in three zones.
 std::vector<EngineGroup>
 UsualGroups();
 
 std::vector<LayoutHost>
 MakeHosts(const std::vector<EngineGroup>& aGroups);
 
-// Takes orders over as if they had been carried out.
+// Applies the orders as if the engines had carried them out.
 void
 ApplyOrders(std::vector<LayoutHost>& aHosts,
             const std::vector<LayoutOrder>& aOrders);
@@ -36,11 +36,13 @@
 RunnerPtr
 MakeEngine(const LayoutHost& aHost, std::uint32_t aZoneIndex);
 
-// Engines of hosts that hold layers; zones are numbered in order of their name.
+// Returns the engines of hosts that hold layers; zones are numbered in the
+// order of their names.
 std::vector<RunnerPtr>
 MakeEngines(const std::vector<LayoutHost>& aHosts);
 
-// How many engines of the zone hold each layer; an empty zone: of all.
+// Returns how many engines of the zone hold each layer; an empty zone counts
+// the engines of all zones.
 std::vector<int>
 CountHolders(const std::vector<LayoutHost>& aHosts, const std::string& aZone);
 
--- a/Tests/Routing/LayerLayoutTest.cxx
+++ b/Tests/Routing/LayerLayoutTest.cxx
@@ -1,4 +1,5 @@
-// Tests of which layers engines hold: at the start, after losses and returns.
+// Tests which layers engines hold at the start of a fleet, after losses and
+// after returns.
 #include <algorithm>
 #include <string_view>
 
@@ -41,7 +42,7 @@
   return least;
 }
 
-// Layers that the orders make engines load.
+// Returns the number of layers that the orders make engines load.
 std::uint32_t
 CountLoads(const std::vector<LayoutHost>& aHosts,
            const std::vector<LayoutOrder>& aOrders)
@@ -102,7 +103,8 @@
 
 TEST(LayerLayout, EnginesKeepRoomForRequests)
 {
-  // 40,000 tokens of the layers held is the least that a zone works with.
+  // The minimum KV cache capacity that a zone works with is 40,000 tokens on
+  // the layers that the engine holds.
   for (const LayoutHost& host : PlaceAll(UsualGroups())) {
     const double free =
       m_model.FindKind(host.m_kind)->m_memoryMb - UsedMb(m_model, host);
@@ -190,9 +192,9 @@
   }
 }
 
-// Load pattern: an engine crashes and comes back empty after some seconds. Its
-// neighbours grew meanwhile, and the tightest engine of a chain decides how
-// many streams the chain takes.
+// Fault pattern: an engine crashes and comes back empty after some seconds. Its
+// neighbours have taken over its layers in the meantime, and the engine with
+// the least KV cache capacity limits how many streams its chain accepts.
 TEST(LayerLayout, AnEngineThatComesBackGivesTheZoneItsRoomAgain)
 {
   const auto start = PlaceAll(UsualGroups());
@@ -205,13 +207,14 @@
     back.m_holds = {};
     ++back.m_incarnation;
     hosts.push_back(back);
-    // Loads, and what can be given up once they are done.
+    // Engines load layers, and then others can give layers up.
     for (int round = 0; round < 4; ++round) {
       ApplyOrders(hosts, m_layout.Plan(m_model, hosts));
       CHECK(LeastHolders(hosts, lost.m_zone) >= 1);
     }
-    // Zone c has no memory to spare: its borders stay where the loss put them,
-    // with room for its daily rate, 50 streams of 900 tokens.
+    // Zone c has no spare memory: its boundaries stay where the loss moved
+    // them, with KV cache capacity for its daily rate, 50 streams of 900
+    // tokens.
     const double least =
       lost.m_zone == "c" ? 45'000 : LeastKvCapacity(start, lost.m_zone);
     CHECK_TEXT(LeastKvCapacity(hosts, lost.m_zone) >= least, lost.m_id.c_str());
@@ -231,8 +234,9 @@
   CHECK_EQUAL(0U, m_layout.Plan(m_model, hosts).size());
 }
 
-// Load pattern: a zone that just holds the model loses an engine for good. Its
-// engines keep their order and load less than with a new layout.
+// Fault pattern: a zone with just enough memory for the model loses an engine
+// for good. Its engines keep their order and load fewer layers than with a
+// layout from scratch.
 TEST(LayerLayout, ATightZoneMovesItsBordersAfterALoss)
 {
   const auto start = PlaceAll(UsualGroups());
@@ -245,7 +249,8 @@
       host.m_holds = host.m_zone == "c" ? LayerSpan{} : host.m_holds;
     }
     const auto newOrders = m_layout.Plan(m_model, relaid);
-    // The loss of a fast engine is as large as all that the others can spare.
+    // The loss of a fast engine takes all the memory that the other engines can
+    // spare.
     const bool isFast = std::string_view(lost) == "c-fast-1";
     const std::uint32_t loads = CountLoads(hosts, orders);
     const std::uint32_t newLoads = CountLoads(hosts, newOrders);
@@ -255,8 +260,9 @@
   }
 }
 
-// Load pattern: an engine is lost while its zone still loads after another
-// loss. Orders that cross each other emptied the zone for eight seconds.
+// Fault pattern: an engine is lost while its zone still loads layers after
+// another loss. Conflicting orders left the zone without a complete chain for
+// eight seconds.
 TEST(LayerLayout, NoEngineWithLayersMovesWhileItsZoneLoads)
 {
   auto hosts = PlaceAll(UsualGroups());
@@ -276,7 +282,8 @@
   CHECK(LeastHolders(hosts, "b") >= 1);
 }
 
-// Load pattern: a crash of some seconds in a zone without memory to spare.
+// Fault pattern: an engine in a zone without spare memory crashes and comes
+// back within seconds.
 TEST(LayerLayout, BordersStayWhileALostEngineMayComeBack)
 {
   auto hosts = PlaceAll(UsualGroups());
--- a/Tests/Routing/LayerPathTest.cxx
+++ b/Tests/Routing/LayerPathTest.cxx
@@ -1,4 +1,4 @@
-// Tests of paths through all layers.
+// Tests the search for paths through all layers.
 #include <algorithm>
 #include <set>
 
@@ -23,7 +23,8 @@
   return { { aFirst, aEnd }, aZone, aStepMs, 1 };
 }
 
-// Every layer once and in order, each part within what its engine holds.
+// Returns true if the path runs every layer once and in order, and each part
+// within the layers that its engine holds.
 bool
 IsWhole(const std::vector<PathHost>& aHosts, const std::vector<PathPart>& aPath)
 {
@@ -143,7 +144,8 @@
     found += path.empty() ? 0 : 1;
     covered += IsCovered(hosts) ? 1 : 0;
   }
-  // Going round engines that would appear twice may miss a path.
+  // Excluding engines between two parts of the same engine can miss a path, so
+  // a tenth of the covered cases may fail.
   CHECK(covered > 50);
   CHECK(found * 10 >= covered * 9);
 }
--- a/Tests/Routing/LayerShiftTest.cxx
+++ b/Tests/Routing/LayerShiftTest.cxx
@@ -1,4 +1,4 @@
-// Tests of moving the borders between the engines of a chain.
+// Tests moving the boundaries between the engines of a chain.
 #include <algorithm>
 #include <vector>
 
@@ -49,8 +49,9 @@
   CHECK(shift.m_spans[1] == (LayerSpan{ 6, 12 }));
 }
 
-// Load pattern: the engine in the middle is lost, every other one has room for
-// one more layer. All move by a little; none loads as much as was lost.
+// Fault pattern: the engine in the middle of a chain is lost, and every other
+// engine has memory for one more layer. All engines move by a few layers; none
+// loads as many layers as were lost.
 TEST(LayerShift, AGapIsClosedFromAllSidesInTheOrderOfTheChain)
 {
   std::vector<ShiftHost> hosts;
@@ -65,14 +66,16 @@
     CHECK(shift.m_spans[i].Length() <= 5);
     CHECK(i == 0 || shift.m_spans[i - 1].m_first <= shift.m_spans[i].m_first);
   }
-  // Laid out anew, half of the engines would load 4 layers or more.
-  // Here at most 4, 3, 2 and 1 on each side of the gap.
+  // With a layout from scratch, half of the engines would load 4 layers or
+  // more. Here they load at most 4, 3, 2 and 1 on each side of the uncovered
+  // range.
   CHECK(shift.m_cost <= 60);
 }
 
 TEST(LayerShift, AnEngineKeepsWhatItHoldsBesideItsPart)
 {
-  // The second one has room for the gap and for its own layers.
+  // The second engine has memory for the uncovered layer and for its own
+  // layers.
   const LayerShift shift = ShiftLayers(8, { { { 0, 3 }, 3 }, { { 4, 8 }, 8 } });
   CHECK(shift.m_spans[1] == (LayerSpan{ 3, 8 }));
 }
--- a/Tests/Routing/PathRerouteTest.cxx
+++ b/Tests/Routing/PathRerouteTest.cxx
@@ -1,4 +1,4 @@
-// Tests of replacing the lost stages of a path.
+// Tests the replacement of failed stages of a path.
 #include <algorithm>
 
 #include "Routing/EngineFleet.h"
@@ -137,8 +137,9 @@
   CHECK(path->m_crossings > 0);
 }
 
-// Load pattern: fifty streams lose a stage in the same moment, each gateway
-// knows only its own. They do not all go to one engine.
+// Fault pattern: a stage of fifty streams fails, and each gateway knows only
+// its own streams. The streams must not all move to the same replacement
+// engine.
 TEST(PathReroute, StreamsSpreadOverTheEnginesThatCanStepIn)
 {
   Place({ { "a", "fast", 2 }, { "a", "middle", 40 } });
@@ -157,8 +158,8 @@
   CHECK(used.size() >= 3);
 }
 
-// An engine whose memory is taken is no help.
-// What speaks for the repaired path and for beginning anew.
+// Checks the estimates that decide between a rerouted path and a restart on
+// another path.
 TEST(PathReroute, ARepairIsWeighedAgainstTheOtherPaths)
 {
   m_path->First().m_load->RecordReport(Now(), 0, 100);
@@ -173,6 +174,7 @@
   CHECK(load.m_pathPrefillMs > load.m_restartPrefillMs);
 }
 
+// An engine without free KV cache memory must not become a replacement.
 TEST(PathReroute, FullEnginesDoNotStepIn)
 {
   FailStage(3);
--- a/Tests/Routing/PathSelectorTest.cxx
+++ b/Tests/Routing/PathSelectorTest.cxx
@@ -1,4 +1,4 @@
-// Tests of which path a request takes, with replays of load at its worst.
+// Tests path selection, including replays of bursts and failures.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -17,7 +17,8 @@
 
 constexpr std::uint32_t kTokens = 900;
 constexpr std::uint32_t kPrompt = 800;
-// Room counts too, so two paths need not read equally long.
+// The KV cache capacity counts too, so two paths need not have the same prefill
+// backlog.
 constexpr double kMaxImbalance = 1.5;
 
 TimePoint
@@ -45,7 +46,7 @@
     ->m_kvCapacityTokens;
 }
 
-// How a replay chooses.
+// The algorithm that chooses paths in a replay.
 enum class Chooser
 {
   Selector,
@@ -56,12 +57,13 @@
 struct ReplayResult
 {
   int m_served = 0;
-  // Held in memory within each engine's room all the time.
+  // Served streams whose tokens fitted the KV cache capacity of each of their
+  // engines all the time.
   int m_fitting = 0;
   int m_refused = 0;
 };
 
-// A stream that is under way until its end.
+// A stream in progress until m_end.
 struct Running
 {
   TimePoint m_end;
@@ -80,8 +82,9 @@
     });
 }
 
-// Streams of 2.6 s arrive at a rate for 10 s, four times the rate from second
-// 4 to 6. A stream whose engines have no memory left is preempted.
+// Replays streams of 2.6 s that arrive at aRate for 10 s, and at four times
+// that rate from second 4 to 6. A stream is preempted if one of its engines
+// runs out of KV cache memory.
 ReplayResult
 ReplayBurst(Chooser aChooser, PathSelector& aSelector, double aRate)
 {
@@ -188,9 +191,9 @@
   CHECK(Choose(0) != nullptr);
 }
 
-// Load pattern: an engine of the only path of a zone dies, and this gateway's
-// forty streams begin anew at the same moment. Reading all of them on the path
-// with the most room takes longer than a stream may pause.
+// Fault pattern: an engine of the only path of a zone fails, and forty streams
+// of this gateway restart at the same moment. The prefill of all of them on the
+// path with the most KV cache capacity takes longer than a stream may pause.
 TEST(PathSelector, StreamsThatBeginAnewAreSpreadByWhatIsToBeRead)
 {
   for (const RunnerPtr& engine : m_engines) {
@@ -198,14 +201,15 @@
       engine->m_load->OpenCircuitFor(At(0), std::chrono::seconds(5));
     }
   }
-  // The load of the path that would come first; the other one has more room.
+  // Fill the path that would be chosen first; the other path then has more KV
+  // cache capacity left.
   std::deque<PathReservation> reservations;
   m_selector.Invalidate();
   const StagePathPtr first = Choose(0);
   for (int i = 0; i < 40; ++i) {
     reservations.emplace_back(first, kTokens);
   }
-  // Until a path's prompts have been read, in milliseconds.
+  // Time in ms until the prompts sent to a zone's path are prefilled.
   std::map<std::string, double> prefillMs;
   for (int i = 0; i < 40; ++i) {
     const StagePathPtr path = Choose(0, { kTokens, 1, {}, {}, kPrompt });
@@ -222,8 +226,9 @@
   }
 }
 
-// Load pattern: the same under ninety gateways, each with one stream. What the
-// others choose at that moment is not known.
+// Fault pattern: ninety gateways with one stream each restart their streams at
+// the same moment. A gateway does not know what the other gateways choose at
+// that moment.
 TEST(PathSelector, StreamsOfManyGatewaysThatBeginAnewSpread)
 {
   m_selector.Invalidate();
@@ -244,8 +249,9 @@
   }
 }
 
-// Load pattern: five engines work four times as long while another zone is
-// down. Every event of their streams comes 290 ms after the one before it.
+// Load pattern: five engines take four times as long while another zone is
+// down. Each event of their streams comes 290 ms after the previous one, which
+// misses the event gap target.
 TEST(PathSelector, APathWhoseStreamsAreAllLateIsTakenWhereTheOthersAreFull)
 {
   const Duration target = std::chrono::milliseconds(200);
@@ -273,7 +279,7 @@
     reservations.emplace_back(path, kTokens);
   }
   STRCMP_EQUAL("a", Choose(0, request)->First().m_zone.c_str());
-  // It is not known any more.
+  // The recorded event gap is too old to count.
   reservations.clear();
   STRCMP_EQUAL("a", Choose(1.1, request)->First().m_zone.c_str());
 }
@@ -288,7 +294,7 @@
   CHECK(load.EventGap(At(0.2)) < std::chrono::milliseconds(200));
 }
 
-// The prompts have been read: only the room counts again.
+// After its prefill a prompt counts only towards the reserved tokens.
 TEST(PathSelector, APromptThatWasReadHoldsItsRoomOnly)
 {
   const StagePathPtr path = Choose(0);
@@ -304,8 +310,8 @@
               path->First().m_load->ReservedTokens());
 }
 
-// Load pattern: a burst fills the fast path while the others work three times
-// as long. A late answer is better than none.
+// Load pattern: a burst fills the fast path while the engines of the other
+// paths take three times as long. A late answer is better than none.
 TEST(PathSelector, ASlowPathWithRoomGoesBeforeAFullOne)
 {
   std::deque<PathReservation> reservations;
@@ -368,7 +374,7 @@
   CHECK_FALSE(Choose(0)->Uses(second));
 }
 
-// Load pattern: the own zone's engines work four times as long.
+// Load pattern: the engines of this VM's zone take four times as long.
 TEST(PathSelector, PassesOverTheOwnZoneWhileItIsSlow)
 {
   for (const RunnerPtr& engine : m_engines) {
@@ -384,7 +390,8 @@
 
 TEST(PathSelector, LeavesItsZoneOnlyWhereNoPathWithinAZoneIsLeft)
 {
-  // The first stages of all zones but one: what is left must cross.
+  // Only zone b keeps the engines of its first layers, so any other path must
+  // cross zones.
   for (const RunnerPtr& engine : m_engines) {
     if (engine->m_zone != "b" && engine->m_firstLayer == 0) {
       engine->m_load->OpenCircuitFor(At(0), std::chrono::seconds(5));
@@ -418,9 +425,9 @@
   }
 }
 
-// Load pattern: traffic at the daily rate, four times as much for 2 s. Equal
-// turns overfill the small chain; the selector refuses what has no room and
-// lets everything it takes fit.
+// Load pattern: traffic at the daily rate, then four times as much for 2 s.
+// Round robin overfills the small chain. The path selector refuses streams for
+// which no path has KV cache capacity, and every stream that it accepts fits.
 TEST(PathSelector, ReplayOfABurstPreemptsNobody)
 {
   const ReplayResult selector = ReplayBurst(Chooser::Selector, m_selector, 60);
--- a/Tests/Routing/RerouteShareTest.cxx
+++ b/Tests/Routing/RerouteShareTest.cxx
@@ -1,5 +1,5 @@
-// Tests of how many streams are led round a lost stage, with replays of a
-// crash.
+// Tests the share of streams that is rerouted around a failed stage, with
+// replays of an engine failure.
 #include <algorithm>
 #include <vector>
 
@@ -13,11 +13,13 @@
 
 namespace {
 
-// The shortest target for pauses less what it takes to find a dead engine.
+// The shortest event gap target, 200 ms, less the 90 ms that it takes to detect
+// a failed engine.
 constexpr double kInTimeMs = 200 - 90;
 
-// Streams that go on in time: those that are led round are read one after the
-// other by the engine that steps in, the others by the paths they begin at.
+// Returns how many streams continue in time. The replacement engine prefills
+// rerouted streams one after the other; the other paths prefill the streams
+// that restart there.
 int
 ReplayCrash(const RerouteLoad& aLoad, double aShare)
 {
@@ -42,8 +44,8 @@
 
 TEST_GROUP(RerouteShare){};
 
-// Load pattern: a chain of a grown fleet with a hundred streams loses an engine
-// and has one that can step in; eight other chains idle.
+// Fault pattern: a chain with a hundred streams in a large fleet loses an
+// engine, and one engine can replace it. Eight other chains are idle.
 TEST(RerouteShare, MostOfAHundredStreamsBeginAnew)
 {
   const RerouteLoad load{ 104, 3.5, 4.8, 50, 8 };
@@ -54,7 +56,8 @@
   CHECK(inTime > ReplayCrash(load, 0));
 }
 
-// Load pattern: the same in a small fleet with two other chains.
+// Fault pattern: a chain in a small fleet with two other chains loses an
+// engine.
 TEST(RerouteShare, MoreAreLedRoundWhereFewOtherPathsAreLeft)
 {
   const RerouteLoad load{ 40, 3, 4.8, 50, 2 };
--- a/Tests/Routing/RoutingConfigTest.cxx
+++ b/Tests/Routing/RoutingConfigTest.cxx
@@ -1,4 +1,4 @@
-// Tests of routes, accounts and the rules of a configuration.
+// Tests routes, accounts and the rules that a configuration must follow.
 #include "Routing/RoutingConfig.h"
 
 // Last, since its leak macros redefine new.
--- a/Tests/Routing/RunnerTableTest.cxx
+++ b/Tests/Routing/RunnerTableTest.cxx
@@ -1,4 +1,4 @@
-// Tests of the runner table and of the load records that it keeps.
+// Tests the runner table and the RunnerLoad objects that it keeps.
 #include "Routing/RunnerTable.h"
 
 #include "Routing/TestCluster.h"
--- a/Tests/Routing/ServicePickerTest.cxx
+++ b/Tests/Routing/ServicePickerTest.cxx
@@ -1,4 +1,4 @@
-// Tests of picking an endpoint of a plain service.
+// Tests picking an endpoint of a plain service.
 #include "Routing/ServicePicker.h"
 
 #include "Routing/TestCluster.h"
--- a/Tests/Routing/WindowedBudgetTest.cxx
+++ b/Tests/Routing/WindowedBudgetTest.cxx
@@ -1,4 +1,4 @@
-// Tests of the retry budget that all gateways keep together.
+// Tests the retry budget that all gateways share.
 #include <algorithm>
 #include <vector>
 
@@ -63,8 +63,8 @@
   CHECK(budget.Remaining(At(5), 1) <= 51);
 }
 
-// Load pattern: every request fails at first, for a minute, at 20 gateways
-// with shares of the load that differ.
+// Fault pattern: every request fails at first, for a minute, at 20 gateways
+// with unequal shares of the load.
 TEST(WindowedBudget, NoWindowOfAllGatewaysExceedsTheBudget)
 {
   constexpr int kGateways = 20;
