--- a/Source/Routing/LayerLayout.cxx
+++ b/Source/Routing/LayerLayout.cxx
@@ -256,7 +256,7 @@
     return;
   }
   const double kvCapacity = ChooseKvCapacity(aModel, aHosts);
-  const LayerShift whole =
+  const LayerShift shift =
     ShiftLayers(aModel.m_layers, MakeShiftHosts(aModel, aHosts, kvCapacity));
   LayerCoverage coverage = CountCoverage(aModel, aHosts);
   for (std::size_t i = 0; i < aHosts.size(); ++i) {
@@ -267,8 +267,8 @@
     }
     // Prefer boundaries for which no engine has to load layers; otherwise drop
     // layers that other engines hold.
-    const LayerSpan span = whole.m_cost == 0 && !whole.m_spans.empty()
-                             ? whole.m_spans[i]
+    const LayerSpan span = shift.m_cost == 0 && !shift.m_spans.empty()
+                             ? shift.m_spans[i]
                              : coverage.Trim(host.m_holds, fits);
     coverage.Remove(host.m_holds);
     coverage.Add(span);
@@ -285,7 +285,7 @@
   std::vector<LayoutHost> planned = aHosts;
   TrimOverloadedEngines(aModel, planned);
   AssignEmptyEngines(aModel, planned);
-  const std::vector<LayoutHost> filled = planned;
+  const std::vector<LayoutHost> assigned = planned;
   const bool isLoading =
     std::any_of(aHosts.begin(), aHosts.end(), [](const LayoutHost& aHost) {
       return aHost.m_isLoading;
@@ -300,7 +300,7 @@
   if (!CoversAllLayers(aModel, planned)) {
     // A partly covered range is of no use to the chain, so the engines keep
     // their layers.
-    planned = filled;
+    planned = assigned;
   }
   if (!CoversAllLayers(aModel, planned) && canHoldAll &&
       !ShiftBoundaries(aModel, planned)) {
@@ -338,10 +338,10 @@
     if (kvCapacity <= m_settings.m_minKvCapacityTokens) {
       break;
     }
-    LayerShift wider = shiftAt(kvCapacity);
-    if (!wider.m_spans.empty() &&
-        static_cast<double>(wider.m_cost) <= maxCost) {
-      best = std::move(wider);
+    LayerShift larger = shiftAt(kvCapacity);
+    if (!larger.m_spans.empty() &&
+        static_cast<double>(larger.m_cost) <= maxCost) {
+      best = std::move(larger);
       break;
     }
   }
--- a/Source/Routing/PathSelector.cxx
+++ b/Source/Routing/PathSelector.cxx
@@ -149,8 +149,8 @@
     host.m_penalty = IsUsable(aNow, *runner) ? 1 : 0;
     hosts.push_back(host);
   }
-  const std::size_t most = m_settings.m_paths;
-  for (std::size_t i = 0; i < most; ++i) {
+  const std::size_t maxPaths = m_settings.m_paths;
+  for (std::size_t i = 0; i < maxPaths; ++i) {
     const auto parts =
       FindLayerPath(m_model.m_layers, hosts, m_settings.m_costs);
     if (parts.empty()) {
@@ -174,11 +174,11 @@
 std::vector<PathHost>
 PathSelector::MakeReplacementHosts(TimePoint aNow,
                                    const LayerSpan& aUncovered,
-                                   const StagePath& aBroken,
+                                   const StagePath& aFailedPath,
                                    const RerouteRequest& aRequest) const
 {
-  const std::uint32_t zone = aBroken.First().m_zoneIndex;
-  const double part =
+  const std::uint32_t zone = aFailedPath.First().m_zoneIndex;
+  const double layerFraction =
     static_cast<double>(aUncovered.Length()) / m_model.m_layers;
   std::vector<PathHost> hosts;
   for (const RunnerPtr& runner : m_engines) {
@@ -189,7 +189,7 @@
       std::min(runner->m_firstLayer + runner->m_layerCount, aUncovered.m_end);
     const auto& excluded = aRequest.m_excluded;
     const bool isExcluded =
-      aBroken.Uses(runner->m_id) ||
+      aFailedPath.Uses(runner->m_id) ||
       std::find(excluded.begin(), excluded.end(), runner->m_id) !=
         excluded.end();
     const double kvCapacity = KvCapacityTokens(m_model, *runner);
@@ -208,7 +208,8 @@
     // prefill time counts.
     const AcceleratorKind* kind = m_model.FindKind(runner->m_accelerator);
     host.m_stepMs = kind->m_prefillTimeFactor *
-                    std::max(1.0, runner->m_load->Slowdown(aNow)) * part;
+                    std::max(1.0, runner->m_load->Slowdown(aNow)) *
+                    layerFraction;
     if (runner->m_zoneIndex != zone) {
       host.m_stepMs += 2 * m_settings.m_costs.m_zoneHopMs;
     }
@@ -221,7 +222,7 @@
 
 StagePathPtr
 PathSelector::Reroute(TimePoint aNow,
-                      const StagePath& aBroken,
+                      const StagePath& aFailedPath,
                       const RerouteRequest& aRequest) const
 {
   const auto isFailed = [&](const PathStage& aStage) {
@@ -230,14 +231,14 @@
            std::find(excluded.begin(), excluded.end(), aStage.m_runner->m_id) !=
              excluded.end();
   };
-  if (isFailed(aBroken.m_stages.front())) {
+  if (isFailed(aFailedPath.m_stages.front())) {
     return nullptr;
   }
   boost::intrusive_ptr<StagePath> path(new StagePath());
-  path->m_stepMs = aBroken.m_stepMs;
-  path->m_prefillMs = aBroken.m_prefillMs;
-  path->m_totalPrefillMs = aBroken.m_totalPrefillMs;
-  const auto& stages = aBroken.m_stages;
+  path->m_stepMs = aFailedPath.m_stepMs;
+  path->m_prefillMs = aFailedPath.m_prefillMs;
+  path->m_totalPrefillMs = aFailedPath.m_totalPrefillMs;
+  const auto& stages = aFailedPath.m_stages;
   for (auto stage = stages.begin(); stage != stages.end();) {
     const auto next = std::find_if_not(stage, stages.end(), isFailed);
     if (next == stage) {
@@ -246,10 +247,10 @@
     }
     const LayerSpan uncovered{ stage->m_span.m_first,
                                (next - 1)->m_span.m_end };
-    const auto parts =
-      FindLayerPath(uncovered.Length(),
-                    MakeReplacementHosts(aNow, uncovered, aBroken, aRequest),
-                    m_settings.m_costs);
+    const auto parts = FindLayerPath(
+      uncovered.Length(),
+      MakeReplacementHosts(aNow, uncovered, aFailedPath, aRequest),
+      m_settings.m_costs);
     if (parts.empty()) {
       return nullptr;
     }
@@ -303,17 +304,17 @@
   // The first engine reports how many requests it has from all gateways.
   const RunnerLoad& first = *aPath.First().m_load;
   const double streams = first.EstimateStreams(aNow, kStreamSeconds);
-  const double share = FleetLoadFactor(aNow, aPath, aRequest.m_gateways);
+  const double loadFactor = FleetLoadFactor(aNow, aPath, aRequest.m_gateways);
   const double slots =
     std::max(1.0, static_cast<double>(aPath.First().m_slots));
   const double pendingPrefill =
-    first.PendingPrefillTokens() * share + aRequest.m_promptTokens;
+    first.PendingPrefillTokens() * loadFactor + aRequest.m_promptTokens;
   PathUtilization utilization{
     (streams + 1) / slots, nullptr, streams, pendingPrefill * aPath.m_prefillMs
   };
   for (const PathStage& stage : aPath.m_stages) {
     const double reserved =
-      stage.m_runner->m_load->ReservedTokens() * share + aRequest.m_tokens;
+      stage.m_runner->m_load->ReservedTokens() * loadFactor + aRequest.m_tokens;
     const double fraction = reserved / std::max(1.0, stage.m_kvCapacityTokens);
     if (fraction > utilization.m_fraction) {
       utilization.m_fraction = fraction;
@@ -409,7 +410,7 @@
 
 RerouteLoad
 PathSelector::EstimateRerouteLoad(TimePoint aNow,
-                                  const StagePath& aBroken,
+                                  const StagePath& aFailedPath,
                                   const StagePath& aRerouted,
                                   std::uint32_t aTokens)
 {
@@ -418,9 +419,9 @@
   }
   RerouteLoad load;
   load.m_streams =
-    aBroken.First().m_load->EstimateStreams(aNow, kStreamSeconds);
+    aFailedPath.First().m_load->EstimateStreams(aNow, kStreamSeconds);
   for (const PathStage& stage : aRerouted.m_stages) {
-    if (!aBroken.Uses(stage.m_runner->m_id)) {
+    if (!aFailedPath.Uses(stage.m_runner->m_id)) {
       const double prefillMs =
         PrefillMs(m_model, stage.m_span, *stage.m_runner, aNow);
       load.m_replacementPrefillMs =
@@ -431,7 +432,7 @@
   for (const StagePathPtr& path : m_paths) {
     const bool isOther = path->m_crossings == 0 &&
                          !HasEjectedEngine(aNow, *path) &&
-                         path->First().m_id != aBroken.First().m_id;
+                         path->First().m_id != aFailedPath.First().m_id;
     if (isOther && firsts.insert(path->First().m_id).second) {
       load.m_restartPrefillMs =
         std::max(load.m_restartPrefillMs, aTokens * path->m_prefillMs);
--- a/Source/Routing/PathSelector.h
+++ b/Source/Routing/PathSelector.h
@@ -167,13 +167,13 @@
   // nullptr if the first stage has failed, if no engine can replace some
   // layers, or if the new path would have too many stages.
   StagePathPtr Reroute(TimePoint aNow,
-                       const StagePath& aBroken,
+                       const StagePath& aFailedPath,
                        const RerouteRequest& aRequest) const;
 
   // Returns the estimates that decide whether a stream continues on aRerouted
   // or restarts on another path.
   RerouteLoad EstimateRerouteLoad(TimePoint aNow,
-                                  const StagePath& aBroken,
+                                  const StagePath& aFailedPath,
                                   const StagePath& aRerouted,
                                   std::uint32_t aTokens);
 
@@ -187,7 +187,7 @@
   std::vector<PathHost> MakeReplacementHosts(
     TimePoint aNow,
     const LayerSpan& aUncovered,
-    const StagePath& aBroken,
+    const StagePath& aFailedPath,
     const RerouteRequest& aRequest) const;
   StagePathPtr MakePath(TimePoint aNow,
                         const std::vector<PathHost>& aHosts,
