--- a/Source/Routing/LayerLayout.h
+++ b/Source/Routing/LayerLayout.h
@@ -45,8 +45,8 @@
   // more if another zone's chain is broken. Memory above this capacity holds a
   // second copy of layers.
   double m_kvCapacityTokens = 110'000;
-  // Minimum KV cache capacity in tokens; zones that cannot keep it are grouped
-  // with others.
+  // Minimum KV cache capacity in tokens; zones that cannot provide it by
+  // themselves are grouped with others.
   double m_minKvCapacityTokens = 40'000;
 };
 
@@ -78,8 +78,9 @@
 public:
   explicit LayerLayout(LayoutSettings aSettings = {});
 
-  // aCanMoveBoundaries: borders between engines may move. Not so soon after a
-  // loss: most engines come back within seconds.
+  // Returns the orders that bring the engines from their present layers to the
+  // planned ones. aCanMoveBoundaries: boundaries between engines may move. Pass
+  // false shortly after a loss, because most engines come back within seconds.
   std::vector<LayoutOrder> Plan(const LayeredModel& aModel,
                                 std::vector<LayoutHost> aHosts,
                                 bool aCanMoveBoundaries = true) const;
--- a/Source/Routing/PathSelector.h
+++ b/Source/Routing/PathSelector.h
@@ -105,7 +105,7 @@
 
 struct PathChoice
 {
-  // nullptr if no path covers all layers or every path is full.
+  // nullptr if no allowed path covers all layers or every path is full.
   StagePathPtr m_path;
   // True if paths exist, but all of them are full.
   bool m_isFull = false;
@@ -116,6 +116,7 @@
 
 struct PathSelectorSettings
 {
+  // Maximum number of paths that are computed.
   std::size_t m_paths = 6;
   // Cost of a path whose streams miss the event gap target. Such a path is
   // chosen when the others are full: an answer in time is worth about twice a
--- a/Source/Routing/Runner.h
+++ b/Source/Routing/Runner.h
@@ -36,8 +36,8 @@
   std::uint32_t m_firstLayer = 0;
   // Inclusive.
   std::uint32_t m_lastLayer = 0;
-  // True if a gateway reported the endpoint as failed and it has not announced
-  // itself since.
+  // True if a gateway reported the endpoint as failed and the endpoint has not
+  // announced itself since.
   bool m_isSuspected = false;
   // For managed engines: number of layers held from m_firstLayer on.
   std::uint32_t m_layerCount = 0;
--- a/Source/Routing/RunnerLoad.cxx
+++ b/Source/Routing/RunnerLoad.cxx
@@ -26,8 +26,11 @@
 // Older averages are ignored, because the speed of an engine changes within
 // seconds.
 constexpr std::int64_t kMaxEventGapAgeNs = 1'000'000'000;
+// Duration of the first open period; each further failure doubles it, up to
+// kMaxOpenDoublings times.
 constexpr std::int64_t kFirstOpenNs = 500'000'000;
 constexpr std::uint32_t kMaxOpenDoublings = 6;
+// Time after which a half-open circuit admits another probe.
 constexpr std::int64_t kProbeWindowNs = 1'000'000'000;
 // A refusal that comes this soon after the end of the last ejection doubles it.
 constexpr std::int64_t kEjectMemoryNs = 500'000'000;
--- a/Source/Routing/ServicePicker.h
+++ b/Source/Routing/ServicePicker.h
@@ -25,8 +25,8 @@
   std::string m_ownZone;
 };
 
-// Picks the less loaded of two random endpoints; on equal load, the one in this
-// VM's availability zone.
+// Picks the less loaded of two random endpoints; at about equal load, the one
+// in this VM's availability zone.
 class ServicePicker
 {
 public:
