--- a/Source/Routing/ExpectedCompletionPlanner.cxx
+++ b/Source/Routing/ExpectedCompletionPlanner.cxx
@@ -120,7 +120,7 @@
     return true;
   }
   const bool suspect =
-    load.Circuit(aNow) == CircuitState::Suspect || load.IsUnanswering(aNow);
+    load.Circuit(aNow) == CircuitState::Suspect || load.IsUnresponsive(aNow);
   const bool answered = aFilter == RunnerFilter::Unsuspected ||
                         aRequest.m_answeredSince == TimePoint{} ||
                         load.HasAnsweredSince(aRequest.m_answeredSince);
@@ -164,7 +164,7 @@
   const double streams = load.EstimateStreams(aNow) + 1.0;
   const double filled = streams / slots;
   const double rounds = std::max(kEmptyStepShare * (1.0 + filled), filled);
-  const double slowdown = load.Slowness(aNow);
+  const double slowdown = load.Slowdown(aNow);
   const double step = perToken * slots * rounds * slowdown;
   double transfer = 0;
   if (m_settings.m_transport == ChainTransport::Relayed) {
--- a/Source/Routing/RunnerLoad.h
+++ b/Source/Routing/RunnerLoad.h
@@ -1,4 +1,4 @@
-// What this process knows of one endpoint's load and health.
+// Tracks load and health of one endpoint, as far as this process knows them.
 #pragma once
 
 #include <atomic>
@@ -10,115 +10,131 @@
 
 namespace parsleycove {
 
-// A small circuit: work flows, is kept away, or one probe may try again.
+// State of the endpoint's circuit breaker.
+//
+// Closed: work flows. Open: the endpoint gets no work. HalfOpen: one probe may
+// try the endpoint again.
 enum class CircuitState
 {
-  Ok,
-  Suspect,
+  Closed,
+  Open,
   HalfOpen,
 };
 
 // Load and health of one endpoint id and incarnation, shared by all threads.
 //
-// Counts of this process are exact; whatever a reply or report said is a hint
+// Counts of this process are exact; load from replies and reports is a hint
 // that loses weight with its age.
 class RunnerLoad : public boost::intrusive_ref_counter<RunnerLoad>
 {
 public:
-  // A stream or call was assigned to the endpoint, or has left it.
+  // Counts a stream or call that was assigned to the endpoint or has left it.
   void AddStream() { m_streams.fetch_add(1, std::memory_order_relaxed); }
   void RemoveStream() { m_streams.fetch_sub(1, std::memory_order_relaxed); }
 
   // Every StartStep is followed by exactly one FinishStep or AbandonStep.
   void StartStep(std::uint32_t aPositions);
-  // Records a good reply: aExpected is what was predicted when it was sent.
+  // Records a successful reply; aExpected is the step time that was predicted
+  // when the step was sent.
   void FinishStep(TimePoint aNow,
                   std::uint32_t aPositions,
                   Duration aTaken,
                   Duration aExpected);
   void AbandonStep(std::uint32_t aPositions);
 
-  // Tells that a step leaves now; called before its StartStep.
-  void NoteSent(TimePoint aNow);
-  // True while steps are out and no answer came for several round trips.
-  bool IsUnanswering(TimePoint aNow) const;
-  // True when a step was answered well after that time.
+  // Records that a step is being sent; called before its StartStep.
+  void RecordSend(TimePoint aNow);
+  // Returns true if steps are outstanding and no answer has come for several
+  // round trips.
+  bool IsUnresponsive(TimePoint aNow) const;
+  // Returns true if a step was answered successfully after aTime.
   bool HasAnsweredSince(TimePoint aTime) const;
 
-  // When it last answered; the clock's epoch: never.
+  // Returns the time of the last answer, or the clock's epoch if there was
+  // none.
   TimePoint AnsweredAt() const
   {
     return TimePoint(Duration(Load(m_answeredAtNs)));
   }
 
-  // Takes the load that a reply or a report carried.
+  // Records the load from a reply or a report.
   void RecordReport(TimePoint aNow,
                     std::uint32_t aQueued,
                     std::uint32_t aRunning);
-  // Counts a failure; repeated ones keep work away for a growing time.
+  // Counts a failure; consecutive failures open the circuit for a growing time.
   void RecordFailure(TimePoint aNow);
 
-  // Counts a step sent at aSentAt that stayed unanswered. When nothing else
-  // was answered since, the endpoint is kept away at once.
-  void RecordSilence(TimePoint aNow, TimePoint aSentAt);
+  // Counts a step that was sent at aSentAt and got no answer. If no other step
+  // was answered since then, the circuit opens at once.
+  void RecordTimeout(TimePoint aNow, TimePoint aSentAt);
 
   CircuitState Circuit(TimePoint aNow) const;
-  // Takes the one probe of a half-open circuit; true when the caller has it.
+  // Claims the single probe of a half-open circuit. Returns true if the caller
+  // may send work, also if the circuit is closed.
   bool ClaimProbe(TimePoint aNow);
 
-  // Memory for requests that this process has assigned, in tokens.
-  void HoldTokens(std::int32_t aTokens)
+  // Adds to the KV cache memory that this process has assigned to requests, in
+  // tokens; a negative value releases it.
+  void ReserveTokens(std::int32_t aTokens)
+  {
+    m_reservedTokens.fetch_add(aTokens, std::memory_order_relaxed);
+  }
+  std::int32_t ReservedTokens() const { return Load(m_reservedTokens); }
+  // Adds to the prompt tokens that this process has sent to the endpoint as the
+  // first engine of a path and that have no answer yet; a negative value
+  // removes them.
+  void AddPendingPrefill(std::int32_t aTokens)
   {
-    m_heldTokens.fetch_add(aTokens, std::memory_order_relaxed);
+    m_pendingPrefillTokens.fetch_add(aTokens, std::memory_order_relaxed);
   }
-  std::int32_t HeldTokens() const { return Load(m_heldTokens); }
-  // Prompts that this process has sent it as the first engine of a path and
-  // that have no answer yet, in tokens.
-  void HoldUnread(std::int32_t aTokens)
+  std::int32_t PendingPrefillTokens() const
   {
-    m_unreadTokens.fetch_add(aTokens, std::memory_order_relaxed);
+    return Load(m_pendingPrefillTokens);
   }
-  std::int32_t UnreadTokens() const { return Load(m_unreadTokens); }
-  // Keeps work away for this long, whatever happened before.
-  void Suspect(TimePoint aNow, Duration aFor);
-  // It refuses new work for now; what it has goes on. Refusals that follow one
-  // another double the time, up to eight times.
-  void Shun(TimePoint aNow, Duration aFor);
-  bool IsShunned(TimePoint aNow) const
+  // Opens the circuit for this long, regardless of earlier failures.
+  void OpenCircuitFor(TimePoint aNow, Duration aFor);
+  // Outlier ejection: the endpoint refuses new work for now, while its present
+  // work continues. Refusals that follow one another double the time, up to
+  // eight times its length.
+  void EjectFor(TimePoint aNow, Duration aFor);
+  bool IsEjected(TimePoint aNow) const
   {
-    return aNow.time_since_epoch().count() < Load(m_shunUntilNs);
+    return aNow.time_since_epoch().count() < Load(m_ejectedUntilNs);
   }
-  // The endpoint has shown that it is alive.
-  void Clear(TimePoint aNow);
-  // The same, without a look at the circuit.
-  void NoteAnswer(TimePoint aNow)
+  // Closes the circuit, because the endpoint has shown that it is alive.
+  void CloseCircuit(TimePoint aNow);
+  // Records that the endpoint answered; leaves the circuit as it is.
+  void RecordAnswer(TimePoint aNow)
   {
     m_answeredAtNs.store(aNow.time_since_epoch().count(),
                          std::memory_order_relaxed);
   }
-  // An event came this long after the one before it, on a stream whose path
+  // Records the time between two consecutive events of a stream whose path
   // begins at this engine.
-  void NoteEventGap(TimePoint aNow, Duration aGap);
-  // The usual one; zero: not known of late.
+  void RecordEventGap(TimePoint aNow, Duration aGap);
+  // Returns the moving average of the event gap, or zero if no recent gap is
+  // known.
   Duration EventGap(TimePoint aNow) const;
-  // The endpoint says that its work takes this many times as long.
-  void NotePace(TimePoint aNow, double aPace);
+  // Records the slowdown factor that the endpoint reports: its work takes this
+  // many times as long.
+  void RecordSlowdown(TimePoint aNow, double aSlowdown);
 
   std::int32_t Streams() const { return Load(m_streams); }
   std::int32_t Steps() const { return Load(m_steps); }
   std::int32_t Positions() const { return Load(m_positions); }
-  // Work of all gateways: the own streams plus what others were reported to
-  // have there, faded by the age of the report.
-  // aHalfLifeSeconds: about as long as work stays there.
+  // Returns the estimated streams of all gateways: those of this process plus
+  // those that reports attribute to others, weighted by the age of the report.
+  // aHalfLifeSeconds: about the time that work stays at the endpoint.
   double EstimateStreams(TimePoint aNow, double aHalfLifeSeconds = 0.5) const;
-  // Observed over predicted step time; 1 when nothing is known.
-  double Slowness(TimePoint aNow) const;
-  // Zero until a step has been answered.
+  // Returns the slowdown factor, observed over predicted step time; 1 if
+  // nothing is known.
+  double Slowdown(TimePoint aNow) const;
+  // Returns zero until a step has been answered.
   Duration RoundTrip() const { return Duration(Load(m_roundTripNs)); }
   Duration ServicePerPosition() const { return Duration(Load(m_positionNs)); }
 
 private:
-  void RecordSlowness(TimePoint aNow, double aSample);
+  void AddSlowdownSample(TimePoint aNow, double aSample);
   template<typename Value>
   static Value Load(const std::atomic<Value>& aValue)
   {
@@ -128,29 +144,29 @@
   std::atomic<std::int32_t> m_streams{ 0 };
   std::atomic<std::int32_t> m_steps{ 0 };
   std::atomic<std::int32_t> m_positions{ 0 };
-  std::atomic<std::int32_t> m_heldTokens{ 0 };
-  std::atomic<std::int32_t> m_unreadTokens{ 0 };
-  std::atomic<std::int64_t> m_shunUntilNs{ 0 };
-  std::atomic<std::uint32_t> m_shunDoublings{ 0 };
+  std::atomic<std::int32_t> m_reservedTokens{ 0 };
+  std::atomic<std::int32_t> m_pendingPrefillTokens{ 0 };
+  std::atomic<std::int64_t> m_ejectedUntilNs{ 0 };
+  std::atomic<std::uint32_t> m_ejectDoublings{ 0 };
   // Moving averages; a lost update between threads is harmless.
   std::atomic<std::int64_t> m_roundTripNs{ 0 };
   std::atomic<std::int64_t> m_positionNs{ 0 };
   std::atomic<std::int64_t> m_eventGapNs{ 0 };
   std::atomic<std::int64_t> m_eventGapAtNs{ 0 };
-  std::atomic<double> m_slowness{ 1.0 };
-  std::atomic<std::int64_t> m_slownessAtNs{ 0 };
-  // When a step was last answered well; zero: never.
+  std::atomic<double> m_slowdown{ 1.0 };
+  std::atomic<std::int64_t> m_slowdownAtNs{ 0 };
+  // Time of the last answer; zero if there was none.
   std::atomic<std::int64_t> m_answeredAtNs{ 0 };
-  // Since when nothing was answered while steps were out.
+  // Time since which no answer has come while steps were outstanding.
   std::atomic<std::int64_t> m_waitingSinceNs{ 0 };
-  // Reported work that is not this process's own.
-  std::atomic<std::int32_t> m_reportedOthers{ 0 };
-  // Zero: never reported.
+  // Reported streams that do not belong to this process.
+  std::atomic<std::int32_t> m_reportedOtherStreams{ 0 };
+  // Zero if no report has come.
   std::atomic<std::int64_t> m_reportedAtNs{ 0 };
   // Failures since the last success.
   std::atomic<std::uint32_t> m_failures{ 0 };
-  // Zero: the circuit is closed.
-  std::atomic<std::int64_t> m_suspectUntilNs{ 0 };
+  // Zero if the circuit is closed.
+  std::atomic<std::int64_t> m_openUntilNs{ 0 };
 };
 
 } // namespace parsleycove
--- a/Source/Routing/ServicePicker.cxx
+++ b/Source/Routing/ServicePicker.cxx
@@ -1,4 +1,4 @@
-// Choice of an endpoint for one call to a plain service.
+// Selects an endpoint for one call to a plain service.
 #include "Routing/ServicePicker.h"
 
 #include <algorithm>
@@ -7,9 +7,9 @@
 
 namespace {
 
-// Load, in calls for each slot, that going to another zone is worth.
+// Cost of a call to another zone, expressed as load in calls per slot.
 constexpr double kOtherZonePenalty = 0.05;
-constexpr double kSuspectPenalty = 1e6;
+constexpr double kOpenCircuitPenalty = 1e6;
 
 } // namespace
 
@@ -26,12 +26,12 @@
   const RunnerLoad& load = *aRunner.m_load;
   const double slots = std::max(1U, aRunner.m_slots);
   double score =
-    (1.0 + load.EstimateStreams(aNow)) / slots * load.Slowness(aNow);
+    (1.0 + load.EstimateStreams(aNow)) / slots * load.Slowdown(aNow);
   if (aRunner.m_zone != aRequest.m_ownZone) {
     score += kOtherZonePenalty / slots;
   }
-  if (load.Circuit(aNow) == CircuitState::Suspect) {
-    score += kSuspectPenalty;
+  if (load.Circuit(aNow) == CircuitState::Open) {
+    score += kOpenCircuitPenalty;
   }
   return score;
 }
@@ -58,13 +58,14 @@
                    ": expected a ready endpoint that was not excluded");
     return nullptr;
   }
-  // A suspect endpoint is taken only when no other is left.
-  const auto isSuspect = [aNow](const RunnerPtr* aRunner) {
-    return (*aRunner)->m_load->Circuit(aNow) == CircuitState::Suspect;
+  // An endpoint with an open circuit is picked only if no other endpoint is
+  // left.
+  const auto hasOpenCircuit = [aNow](const RunnerPtr* aRunner) {
+    return (*aRunner)->m_load->Circuit(aNow) == CircuitState::Open;
   };
   const auto healthyEnd = std::stable_partition(
     m_candidates.begin(), m_candidates.end(), [&](const RunnerPtr* aRunner) {
-      return !isSuspect(aRunner);
+      return !hasOpenCircuit(aRunner);
     });
   const auto healthy =
     static_cast<std::size_t>(healthyEnd - m_candidates.begin());
--- a/Source/Routing/StreamStateMachine.cxx
+++ b/Source/Routing/StreamStateMachine.cxx
@@ -253,7 +253,7 @@
   if (aFault == StageFault::ConnectionFailed) {
     failed->m_load->RecordFailure(aNow);
   } else if (aFault == StageFault::Unresponsive) {
-    failed->m_load->RecordSilence(aNow, sent.m_sentAt);
+    failed->m_load->RecordTimeout(aNow, sent.m_sentAt);
     m_unansweredSince = sent.m_sentAt;
   }
   m_lastFailure = failed->m_id + ": " + aReason;
--- a/Tests/Routing/RoutingConfigTest.cxx
+++ b/Tests/Routing/RoutingConfigTest.cxx
@@ -1,4 +1,4 @@
-// Tests of routes, accounts and the rules of a configuration.
+// Tests routes, accounts and the rules that a configuration must follow.
 #include "Routing/RoutingConfig.h"
 
 // Last, since its leak macros redefine new.
@@ -113,11 +113,11 @@
 TEST(RoutingConfig, KnowsWhatMayBeRepeated)
 {
   RouteRule route = MakeRoute("any", "/");
-  CHECK_FALSE(route.MayRepeat());
+  CHECK_FALSE(route.CanRetry());
   route.m_kind = RequestKind::Safe;
-  CHECK(route.MayRepeat());
+  CHECK(route.CanRetry());
   route.m_kind = RequestKind::Streaming;
-  CHECK_FALSE(route.MayRepeat());
+  CHECK_FALSE(route.CanRetry());
   route.m_isResumable = true;
-  CHECK(route.MayRepeat());
+  CHECK(route.CanRetry());
 }
