--- a/Source/Forwarding/CallResult.h
+++ b/Source/Forwarding/CallResult.h
@@ -17,7 +17,7 @@
   // The connection broke after bytes may have left.
   Broken,
   // No answer within the time-out; bytes have left.
-  Silent,
+  NoAnswer,
 };
 using CallReason = Reason<CallError>;
 
--- a/Source/Forwarding/ConnectionPool.cxx
+++ b/Source/Forwarding/ConnectionPool.cxx
@@ -51,10 +51,10 @@
 }
 
 void
-ConnectionPool::Keep(const Runner& aRunner,
-                     EndpointConnectionPtr aConnection,
-                     TimePoint aNow,
-                     Duration aIdleFor)
+ConnectionPool::AddIdle(const Runner& aRunner,
+                        EndpointConnectionPtr aConnection,
+                        TimePoint aNow,
+                        Duration aIdleFor)
 {
   std::vector<EndpointConnectionPtr>& idle = m_idle[KeyOf(aRunner)];
   if (idle.size() >= kMaxIdlePerEndpoint || aIdleFor <= Duration::zero()) {
@@ -67,7 +67,7 @@
 }
 
 void
-ConnectionPool::Drop(const Runner& aRunner)
+ConnectionPool::CloseIdle(const Runner& aRunner)
 {
   if (const auto found = m_idle.find(KeyOf(aRunner)); found != m_idle.end()) {
     m_count -= found->second.size();
@@ -76,7 +76,7 @@
 }
 
 void
-ConnectionPool::Sweep(TimePoint aNow)
+ConnectionPool::CloseExpired(TimePoint aNow)
 {
   for (auto place = m_idle.begin(); place != m_idle.end();) {
     m_count -= std::erase_if(place->second, [&](const auto& aConnection) {
--- a/Source/Forwarding/ConnectionPool.h
+++ b/Source/Forwarding/ConnectionPool.h
@@ -18,14 +18,14 @@
   // Null when none is idle that the endpoint still holds open.
   EndpointConnectionPtr TakeIdle(const Runner& aRunner, TimePoint aNow);
   // aIdleFor: how long the endpoint leaves it open.
-  void Keep(const Runner& aRunner,
-            EndpointConnectionPtr aConnection,
-            TimePoint aNow,
-            Duration aIdleFor);
+  void AddIdle(const Runner& aRunner,
+               EndpointConnectionPtr aConnection,
+               TimePoint aNow,
+               Duration aIdleFor);
   // A connection to it fell silent; the others may have, too.
-  void Drop(const Runner& aRunner);
+  void CloseIdle(const Runner& aRunner);
   // Closes what the endpoints are about to close.
-  void Sweep(TimePoint aNow);
+  void CloseExpired(TimePoint aNow);
   std::size_t Count() const { return m_count; }
 
 private:
--- a/Source/Forwarding/EndpointClient.cxx
+++ b/Source/Forwarding/EndpointClient.cxx
@@ -82,7 +82,7 @@
 }
 
 void
-EndpointClient::KeepIdle(const std::string& aAddress, Connection aConnection)
+EndpointClient::AddIdle(const std::string& aAddress, Connection aConnection)
 {
   std::vector<Connection>& idle = m_idle[aAddress];
   if (idle.size() < kMaxIdlePerAddress) {
@@ -122,7 +122,7 @@
   const TimePoint deadline = BootClock::now() + aTimeout;
   const std::string key = aAddress.ToString();
   Connection connection;
-  if (aChoice == ConnectionChoice::Kept) {
+  if (aChoice == ConnectionChoice::Reuse) {
     connection = TakeIdle(key);
   }
   if (!connection) {
@@ -160,7 +160,7 @@
   if (readError == beast::error::timeout) {
     m_idle.erase(aAddress);
     CallResult failure =
-      MakeFailure(CallError::Silent, "no answer from " + aAddress);
+      MakeFailure(CallError::NoAnswer, "no answer from " + aAddress);
     failure.m_hasTimedOut = true;
     co_return failure;
   }
@@ -172,7 +172,7 @@
   CallResult result;
   result.m_response = parser.release();
   if (result.m_response->keep_alive()) {
-    KeepIdle(aAddress, std::move(aConnection));
+    AddIdle(aAddress, std::move(aConnection));
   }
   co_return result;
 }
--- a/Source/Forwarding/EndpointClient.h
+++ b/Source/Forwarding/EndpointClient.h
@@ -16,11 +16,11 @@
 enum class ConnectionChoice
 {
   // An idle connection where there is one.
-  Kept,
+  Reuse,
   // Always a new connection: for calls that may not be repeated, whose first
   // byte must not be lost in a connection that the endpoint has closed, and
   // for a retry after silence.
-  Fresh,
+  New,
 };
 
 // Keeps idle connections per address. When a call gets no answer, the idle
@@ -54,7 +54,7 @@
                                       Duration aTimeout,
                                       CallReason& aReason);
   Connection TakeIdle(const std::string& aAddress);
-  void KeepIdle(const std::string& aAddress, Connection aConnection);
+  void AddIdle(const std::string& aAddress, Connection aConnection);
   asio::awaitable<CallResult> Exchange(Connection aConnection,
                                        const std::string& aAddress,
                                        const HttpRequest& aRequest,
--- a/Source/Forwarding/ForwardCall.cxx
+++ b/Source/Forwarding/ForwardCall.cxx
@@ -272,7 +272,7 @@
   }
   const Duration idle =
     ReadIdleLimit(m_parser->get()[http::field::keep_alive]) - kIdleMargin;
-  m_pool.Keep(*m_runner, std::move(m_connection), aNow, idle);
+  m_pool.AddIdle(*m_runner, std::move(m_connection), aNow, idle);
 }
 
 } // namespace parsleycove
--- a/Source/Forwarding/ForwardGateway.cxx
+++ b/Source/Forwarding/ForwardGateway.cxx
@@ -18,10 +18,10 @@
 namespace {
 
 // Fine enough for a pause target of 200 ms.
-constexpr Duration kCallCheck = std::chrono::milliseconds(15);
-constexpr Duration kCallerCheck = std::chrono::milliseconds(250);
+constexpr Duration kCallCheckInterval = std::chrono::milliseconds(15);
+constexpr Duration kCallerCheckInterval = std::chrono::milliseconds(250);
 // New versions come into force at the next request or this look.
-constexpr Duration kUpkeep = std::chrono::milliseconds(150);
+constexpr Duration kMaintenanceInterval = std::chrono::milliseconds(150);
 constexpr Duration kStopMargin = std::chrono::milliseconds(400);
 
 } // namespace
@@ -38,8 +38,8 @@
     : m_options(aOptions)
     , m_log(aLog)
     , m_board(m_options, aControl, aCodec, aLog)
-    , m_callWatch(aContext, kCallCheck)
-    , m_callerWatch(aContext, kCallerCheck)
+    , m_callWatch(aContext, kCallCheckInterval)
+    , m_callerWatch(aContext, kCallerCheckInterval)
     , m_doctor(aContext, aDialect, aLog)
     , m_drain(m_options.m_drainGrace)
     , m_metrics(aMetrics)
@@ -49,7 +49,7 @@
     , m_accept(aContext, m_options.m_maxConnections)
     , m_readiness(aContext,
                   [this](const HttpRequest&) { return AnswerReadiness(); })
-    , m_upkeepTimer(aContext)
+    , m_maintenanceTimer(aContext)
   {
     m_doctor.Attach(m_board, m_metrics, m_callWatch);
     m_callWatch.SetObserver([this](TimePoint aNow) { m_doctor.Check(aNow); });
@@ -73,31 +73,31 @@
 
   asio::awaitable<void> Serve(Tcp::socket aSocket)
   {
-    auto caller = std::make_shared<CallerLink>(std::move(aSocket));
+    auto caller = std::make_shared<CallerConnection>(std::move(aSocket));
     m_callerWatch.Add(*caller);
     m_callers.push_back(caller);
     co_await RunForwardSession(m_services, caller);
   }
 
-  void KeepUp()
+  void RunMaintenance()
   {
     const TimePoint now = BootClock::now();
     m_board.Refresh(now);
     m_doctor.Check(now);
-    m_pool.Sweep(now);
+    m_pool.CloseExpired(now);
     std::erase_if(m_callers,
                   [](const auto& aCaller) { return aCaller.expired(); });
     if (m_drain.Phase(now) == DrainPhase::Draining) {
       for (const auto& weak : m_callers) {
-        if (const CallerLinkPtr caller = weak.lock()) {
+        if (const CallerConnectionPtr caller = weak.lock()) {
           caller->CloseIfIdle();
         }
       }
     }
-    m_upkeepTimer.expires_after(kUpkeep);
-    m_upkeepTimer.async_wait([this](const beast::error_code& aError) {
+    m_maintenanceTimer.expires_after(kMaintenanceInterval);
+    m_maintenanceTimer.async_wait([this](const beast::error_code& aError) {
       if (!aError) {
-        KeepUp();
+        RunMaintenance();
       }
     });
   }
@@ -114,8 +114,8 @@
   ForwardServices m_services;
   AcceptLoop m_accept;
   HttpService m_readiness;
-  asio::steady_timer m_upkeepTimer;
-  std::vector<std::weak_ptr<CallerLink>> m_callers;
+  asio::steady_timer m_maintenanceTimer;
+  std::vector<std::weak_ptr<CallerConnection>> m_callers;
   TimePoint m_stopBegunAt{};
 };
 
@@ -148,7 +148,7 @@
   }
   parts.m_accept.Start(
     [&parts](Tcp::socket aSocket) { return parts.Serve(std::move(aSocket)); });
-  parts.KeepUp();
+  parts.RunMaintenance();
   return true;
 }
 
@@ -172,10 +172,10 @@
   if (parts.m_drain.Phase(aNow) != DrainPhase::Draining) {
     return false;
   }
-  const bool isQuiet = parts.m_drain.Active() == 0;
-  const bool isLate =
+  const bool isIdle = parts.m_drain.Active() == 0;
+  const bool isGraceOver =
     aNow - parts.m_stopBegunAt > parts.m_options.m_stopGrace - kStopMargin;
-  return isQuiet || isLate;
+  return isIdle || isGraceOver;
 }
 
 bool
--- a/Source/Forwarding/ForwardSession.cxx
+++ b/Source/Forwarding/ForwardSession.cxx
@@ -23,12 +23,12 @@
 constexpr unsigned kRequestTimeout = 408;
 constexpr unsigned kBodyTooLarge = 413;
 constexpr unsigned kHeaderTooLarge = 431;
-constexpr Duration kDefaultPatience = std::chrono::seconds(30);
+constexpr Duration kDefaultTimeout = std::chrono::seconds(30);
 // An election and the first confirmation take about a second after a start.
-constexpr Duration kControlWait = std::chrono::milliseconds(2500);
+constexpr Duration kMaxConfigurationWait = std::chrono::milliseconds(2500);
 // A quorum answers within a round trip or two; an election takes a second.
-constexpr Duration kConfirmWait = std::chrono::milliseconds(800);
-constexpr Duration kControlLook = std::chrono::milliseconds(15);
+constexpr Duration kMaxConfirmWait = std::chrono::milliseconds(800);
+constexpr Duration kConfigurationPollInterval = std::chrono::milliseconds(15);
 
 // Host without its port, in lower case.
 std::string
@@ -53,14 +53,14 @@
 }
 
 unsigned
-StatusOf(ReadEnd aEnd)
+StatusOf(ReadResult aEnd)
 {
   switch (aEnd) {
-    case ReadEnd::HeaderTooLarge:
+    case ReadResult::HeaderTooLarge:
       return kHeaderTooLarge;
-    case ReadEnd::BodyTooLarge:
+    case ReadResult::BodyTooLarge:
       return kBodyTooLarge;
-    case ReadEnd::TooSlow:
+    case ReadResult::TimedOut:
       return kRequestTimeout;
     default:
       return kBadRequest;
@@ -86,7 +86,7 @@
 }
 
 // What the present copy says to a request.
-enum class Finding
+enum class LookupResult
 {
   Found,
   // The copy is too old to tell.
@@ -98,7 +98,7 @@
 class ForwardSession
 {
 public:
-  ForwardSession(ForwardServices& aServices, CallerLinkPtr aCaller)
+  ForwardSession(ForwardServices& aServices, CallerConnectionPtr aCaller)
     : m_services(aServices)
     , m_caller(std::move(aCaller))
   {
@@ -109,16 +109,16 @@
     for (;;) {
       const auto config = m_services.m_board.HoldConfig();
       const CallerLimits limits = config ? config->Limits() : CallerLimits{};
-      const ReadEnd end = co_await m_caller->ReadRequest(limits);
-      if (end == ReadEnd::Closed) {
+      const ReadResult end = co_await m_caller->ReadRequest(limits);
+      if (end == ReadResult::Closed) {
         break;
       }
-      if (end != ReadEnd::Request) {
+      if (end != ReadResult::Request) {
         co_await AnswerReadFailure(StatusOf(end));
         break;
       }
       co_await Serve();
-      if (m_caller->Closes() || m_caller->IsGone()) {
+      if (m_caller->ClosesAfterAnswer() || m_caller->IsDisconnected()) {
         break;
       }
     }
@@ -142,7 +142,7 @@
     if (m_services.m_drain.Phase(job.m_arrival) != DrainPhase::Serving) {
       m_caller->CloseAfterAnswer();
     }
-    m_caller->WatchEnd([&job] {
+    m_caller->WatchForDisconnect([&job] {
       if (job.m_call) {
         job.m_call->Abort(CallEnd::CallerGone);
       }
@@ -155,7 +155,7 @@
       }
     }
     m_caller->StopWatching();
-    Record(job);
+    RecordOutcome(job);
   }
 
   // Finds route and account; answers itself and returns false where the
@@ -163,38 +163,38 @@
   asio::awaitable<bool> Prepare(RequestJob& aJob)
   {
     RoutingBoard& board = m_services.m_board;
-    aJob.m_marks = m_services.m_dialect.ReadCaller(aJob.Request());
+    aJob.m_headers = m_services.m_dialect.ParseCallerHeaders(aJob.Request());
     aJob.m_deadline =
-      aJob.m_arrival + aJob.m_marks.m_patience.value_or(kDefaultPatience);
+      aJob.m_arrival + aJob.m_headers.m_timeout.value_or(kDefaultTimeout);
     // What is taken so late would be cut off at the end of the grace, and with
     // it the VM would stay longer than the balancer sends callers to it.
     if (m_services.m_drain.Phase(aJob.m_arrival) == DrainPhase::Draining) {
       co_await Refuse(aJob, RefusalCause::Stopping);
       co_return false;
     }
-    co_await WaitForControl(aJob);
+    co_await WaitForConfiguration(aJob);
     if (board.Config() == nullptr) {
       co_await Refuse(aJob, RefusalCause::NoConfiguration);
       co_return false;
     }
-    Finding finding = Find(aJob);
-    if (finding == Finding::NoRoute || finding == Finding::UnknownKey) {
-      if (!co_await ConfirmCopy(aJob)) {
+    LookupResult lookup = LookUpRequest(aJob);
+    if (lookup == LookupResult::NoRoute || lookup == LookupResult::UnknownKey) {
+      if (!co_await ConfirmLocalView(aJob)) {
         co_await Refuse(aJob, RefusalCause::NoLease);
         co_return false;
       }
-      finding = Find(aJob);
+      lookup = LookUpRequest(aJob);
     }
-    switch (finding) {
-      case Finding::Found:
+    switch (lookup) {
+      case LookupResult::Found:
         break;
-      case Finding::NoLease:
+      case LookupResult::NoLease:
         co_await Refuse(aJob, RefusalCause::NoLease);
         co_return false;
-      case Finding::NoRoute:
+      case LookupResult::NoRoute:
         co_await Fail(aJob, kNotFound, "no route for this host and path");
         co_return false;
-      case Finding::UnknownKey:
+      case LookupResult::UnknownKey:
         co_await Fail(aJob, kUnauthorized, "the key belongs to no account");
         co_return false;
     }
@@ -207,10 +207,10 @@
   // Pattern: all VMs start again at once, or the group elects a leader. The
   // copy comes within about a second; a caller who is sent away instead comes
   // back too early, or not at all.
-  asio::awaitable<void> WaitForControl(RequestJob& aJob)
+  asio::awaitable<void> WaitForConfiguration(RequestJob& aJob)
   {
     RoutingBoard& board = m_services.m_board;
-    const TimePoint patience =
+    const TimePoint waitLimit =
       aJob.m_arrival + (aJob.m_deadline - aJob.m_arrival) / 3;
     asio::steady_timer timer(m_services.m_context);
     for (;;) {
@@ -219,17 +219,17 @@
       const bool isReady = board.Config() != nullptr && board.HasLease(now);
       // A VM that has been cut off for longer will be so for some time.
       const TimePoint until =
-        std::min(patience, board.LeaseLostAt() + kControlWait);
-      if (isReady || now >= until || aJob.m_caller->IsGone()) {
+        std::min(waitLimit, board.LeaseLostAt() + kMaxConfigurationWait);
+      if (isReady || now >= until || aJob.m_caller->IsDisconnected()) {
         co_return;
       }
-      timer.expires_after(kControlLook);
+      timer.expires_after(kConfigurationPollInterval);
       co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
   }
 
   // Looks the request up in the present copy.
-  Finding Find(RequestJob& aJob)
+  LookupResult LookUpRequest(RequestJob& aJob)
   {
     RoutingBoard& board = m_services.m_board;
     const bool hasLease = board.HasLease(BootClock::now());
@@ -238,45 +238,46 @@
     aJob.m_route = aJob.m_config->FindRoute(ReadHost(aJob.Request()),
                                             PathOf(aJob.Request()));
     if (aJob.m_route == nullptr) {
-      return hasLease ? Finding::NoRoute : Finding::NoLease;
+      return hasLease ? LookupResult::NoRoute : LookupResult::NoLease;
     }
     if (!aJob.m_config->HasAccounts()) {
-      return Finding::Found;
+      return LookupResult::Found;
     }
-    const std::string_view key = aJob.m_marks.m_key;
+    const std::string_view key = aJob.m_headers.m_apiKey;
     const bool mayBeAnonymous = aJob.m_route->m_allowsAnonymous;
     // A key may have been taken away since the last confirmation.
     if (!hasLease && !mayBeAnonymous) {
-      return Finding::NoLease;
+      return LookupResult::NoLease;
     }
     if (!key.empty() && hasLease) {
       aJob.m_account = aJob.m_config->FindAccount(key);
     }
-    return aJob.m_account != nullptr || mayBeAnonymous ? Finding::Found
-                                                       : Finding::UnknownKey;
+    return aJob.m_account != nullptr || mayBeAnonymous
+             ? LookupResult::Found
+             : LookupResult::UnknownKey;
   }
 
   // Pattern: a VM whose feed has just broken goes on by its lease, and a
   // version that was accepted meanwhile adds a route or a key. The lease says
   // that nothing was taken away long ago; what is not there needs a quorum's
   // word.
-  asio::awaitable<bool> ConfirmCopy(RequestJob& aJob)
+  asio::awaitable<bool> ConfirmLocalView(RequestJob& aJob)
   {
     const TimePoint deadline =
-      BootClock::now() + std::min(kConfirmWait, aJob.TimeLeft() / 3);
+      BootClock::now() + std::min(kMaxConfirmWait, aJob.TimeLeft() / 3);
     const bool isConfirmed = co_await m_services.m_board.Confirm(
       m_services.m_context, deadline, aJob.m_detail);
     m_services.m_board.Refresh(BootClock::now());
     co_return isConfirmed;
   }
 
-  void Record(const RequestJob& aJob)
+  void RecordOutcome(const RequestJob& aJob)
   {
     const RequestKind kind =
       aJob.m_route ? aJob.m_route->m_kind : RequestKind::Unsafe;
     m_services.m_metrics.Count(kind, aJob.m_end);
     if (kind != RequestKind::Streaming && aJob.m_end == RequestEnd::Answered) {
-      m_services.m_metrics.RecordFirst(kind, aJob.m_firstAfter);
+      m_services.m_metrics.RecordFirstAnswer(kind, aJob.m_firstAfter);
     }
     // A refusal has had its line, with what decided it.
     if (aJob.m_end == RequestEnd::Refused) {
@@ -287,7 +288,7 @@
                           aJob.m_end != RequestEnd::Answered)) {
         aLine.Add("path", aJob.m_path->Describe());
       }
-      aLine.Add("id", aJob.m_marks.m_attemptId)
+      aLine.Add("id", aJob.m_headers.m_attemptId)
         .Add("route", aJob.m_route ? aJob.m_route->m_name : "")
         .Add("kind", NameOf(kRequestKindNames, kind))
         .Add("account", aJob.m_account ? aJob.m_account->m_name : "")
@@ -311,13 +312,13 @@
   }
 
   ForwardServices& m_services;
-  CallerLinkPtr m_caller;
+  CallerConnectionPtr m_caller;
 };
 
 } // namespace
 
 asio::awaitable<void>
-RunForwardSession(ForwardServices& aServices, CallerLinkPtr aCaller)
+RunForwardSession(ForwardServices& aServices, CallerConnectionPtr aCaller)
 {
   ForwardSession session(aServices, std::move(aCaller));
   co_await session.Run();
--- a/Source/Forwarding/PathDoctor.cxx
+++ b/Source/Forwarding/PathDoctor.cxx
@@ -269,7 +269,7 @@
 asio::awaitable<CallResult>
 PathDoctor::AskState(RunnerPtr aRunner, ConnectionChoice aChoice)
 {
-  HttpRequest request(http::verb::get, m_dialect.StatePath(), kHttp11);
+  HttpRequest request(http::verb::get, m_dialect.EngineStatePath(), kHttp11);
   request.set(http::field::host, aRunner->m_address.ToString());
   co_return co_await m_client.Call(aRunner->m_address,
                                    std::move(request),
@@ -282,16 +282,16 @@
 {
   const TimePoint firstAskedAt = BootClock::now();
   TimePoint askedAt = firstAskedAt;
-  CallResult result = co_await AskState(aRunner, ConnectionChoice::Kept);
+  CallResult result = co_await AskState(aRunner, ConnectionChoice::Reuse);
   if (IsWorthAnother(result, *aRunner)) {
     askedAt = BootClock::now();
-    result = co_await AskState(aRunner, ConnectionChoice::Fresh);
+    result = co_await AskState(aRunner, ConnectionChoice::New);
   }
   m_patients[KeyOf(*aRunner)].m_isAsked = false;
   m_patients[KeyOf(*aRunner)].m_runner = aRunner;
   std::optional<EngineState> state;
   if (result.m_response && result.m_response->result_int() == kOk) {
-    state = m_dialect.ReadState(result.m_response->body());
+    state = m_dialect.ParseEngineState(result.m_response->body());
   }
   const TimePoint now = BootClock::now();
   // An engine that started again answers, but knows nothing of its streams.
@@ -346,14 +346,14 @@
   Patient& patient = m_patients[KeyOf(*aRunner)];
   patient.m_avoid = Duration::zero();
   const bool paceChanged =
-    (patient.m_pace > kSlowPace) != (aState.m_pace > kSlowPace);
-  patient.m_pace = aState.m_pace;
+    (patient.m_pace > kSlowPace) != (aState.m_slowdown > kSlowPace);
+  patient.m_pace = aState.m_slowdown;
   const bool wasOk = aRunner->m_load->Circuit(now) == CircuitState::Ok;
   aRunner->m_load->Clear(now);
-  if (aState.m_pace > kSlowPace || paceChanged) {
-    aRunner->m_load->NotePace(now, aState.m_pace);
+  if (aState.m_slowdown > kSlowPace || paceChanged) {
+    aRunner->m_load->NotePace(now, aState.m_slowdown);
   }
-  if (aState.m_pace > kLeavePace) {
+  if (aState.m_slowdown > kLeavePace) {
     for (const auto& weak : m_streams) {
       if (const ForwardCallPtr stream = weak.lock()) {
         m_rerouter.LeaveSlow(stream, *aRunner);
@@ -365,7 +365,8 @@
     m_log.Write(DecisionEvent::EndpointCleared, [&](DecisionLine& aLine) {
       aLine.Add("endpoint", aRunner->m_id)
         .Add("why", "it answered a question")
-        .Add("pace_percent", static_cast<std::int64_t>(aState.m_pace * 100));
+        .Add("pace_percent",
+             static_cast<std::int64_t>(aState.m_slowdown * 100));
     });
   }
 }
--- a/Source/Forwarding/RequestJob.cxx
+++ b/Source/Forwarding/RequestJob.cxx
@@ -113,7 +113,7 @@
   if (aJob.m_services.m_drain.Phase(BootClock::now()) != DrainPhase::Serving) {
     aJob.m_caller->CloseAfterAnswer();
   }
-  if (aJob.m_caller->Closes()) {
+  if (aJob.m_caller->ClosesAfterAnswer()) {
     AppendField(aOut, "Connection", "close");
   }
 }
@@ -127,12 +127,12 @@
     ++aJob.m_resumes;
     ++services.m_metrics.Resumes();
   } else {
-    ++services.m_metrics.Repeats();
+    ++services.m_metrics.Retries();
   }
   services.m_log.Write(aIsResumed ? DecisionEvent::StreamResumed
                                   : DecisionEvent::RequestSentAgain,
                        [&](DecisionLine& aLine) {
-                         aLine.Add("id", aJob.m_marks.m_attemptId)
+                         aLine.Add("id", aJob.m_headers.m_attemptId)
                            .Add("why", aJob.m_lastFault)
                            .Add("from", aFrom)
                            .Add("to", aJob.m_lastEndpoint)
@@ -151,7 +151,7 @@
 }
 
 std::string
-MakeForwardHeader(const RequestJob& aJob, const ForwardMarks& aMarks)
+MakeForwardHeader(const RequestJob& aJob, const ForwardHeaders& aHeaders)
 {
   const HttpRequest& request = aJob.Request();
   const ForwardDialect& dialect = aJob.m_services.m_dialect;
@@ -160,12 +160,12 @@
   out.append(request.target()).append(" HTTP/1.1\r\n");
   for (const auto& field : request) {
     const std::string_view name = field.name_string();
-    if (!IsOfConnection(field.name()) && !dialect.IsReplaced(name) &&
+    if (!IsOfConnection(field.name()) && !dialect.IsReplacedHeader(name) &&
         !IsNamedByConnection(request, name)) {
       AppendField(out, name, field.value());
     }
   }
-  dialect.WriteMarks(out, aMarks);
+  dialect.WriteForwardHeaders(out, aHeaders);
   const bool hasBody = !request.body().empty() ||
                        request.has_content_length() || request.chunked();
   if (hasBody) {
@@ -190,7 +190,7 @@
     const std::string_view name = field.name_string();
     const bool isDropped = IsOfConnection(field.name()) ||
                            IsNamedByConnection(aAnswer, name) ||
-                           (!isOwnStatus && dialect.IsSignature(name));
+                           (!isOwnStatus && dialect.IsSignatureHeader(name));
     if (!isDropped) {
       AppendField(out, name, field.value());
     }
@@ -213,7 +213,7 @@
 {
   std::string out;
   AppendStatusLine(out, aStatus, {});
-  aJob.m_services.m_dialect.WriteOwnMarks(out, aJob.m_marks.m_attemptId);
+  aJob.m_services.m_dialect.WriteAnswerHeaders(out, aJob.m_headers.m_attemptId);
   if (aRetryAfter > Duration::zero()) {
     AppendField(out, "Retry-After", PrintSeconds(aRetryAfter));
   }
@@ -236,7 +236,7 @@
   aJob.m_why = row.m_name;
   aJob.m_services.m_log.Write(
     DecisionEvent::RequestRefused, [&](DecisionLine& aLine) {
-      aLine.Add("id", aJob.m_marks.m_attemptId)
+      aLine.Add("id", aJob.m_headers.m_attemptId)
         .Add("cause", row.m_name)
         .Add("route", aJob.m_route ? aJob.m_route->m_name : "")
         .Add("service", aJob.m_service)
@@ -274,7 +274,7 @@
 StartCall(RequestJob& aJob,
           RunnerPtr aRunner,
           StagePathPtr aPath,
-          ForwardMarks aMarks,
+          ForwardHeaders aHeaders,
           Duration aConnectTimeout)
 {
   ForwardServices& services = aJob.m_services;
@@ -283,9 +283,9 @@
     services.m_pool,
     aRunner,
     std::move(aPath),
-    CallSubject{ std::string(aJob.m_marks.m_attemptId),
+    CallSubject{ std::string(aJob.m_headers.m_attemptId),
                  aJob.m_expectedTokens,
-                 aJob.m_marks.m_promptTokens });
+                 aJob.m_headers.m_promptTokens });
   services.m_callWatch.Add(*call);
   aJob.m_call = call;
   const std::string before = std::exchange(aJob.m_lastEndpoint, aRunner->m_id);
@@ -293,24 +293,24 @@
   if (call->IsNewConnection()) {
     ++services.m_metrics.NewConnections();
   }
-  if (!connected || aJob.m_caller->IsGone()) {
+  if (!connected || aJob.m_caller->IsDisconnected()) {
     aJob.m_lastFault = NameOfEnd(call->End());
     co_return nullptr;
   }
-  aMarks.m_runner = call->Target().get();
-  aMarks.m_path = call->Path().get();
-  aMarks.m_timeLeft = aJob.TimeLeft();
-  if (aMarks.m_timeLeft <= Duration::zero()) {
+  aHeaders.m_runner = call->Target().get();
+  aHeaders.m_path = call->Path().get();
+  aHeaders.m_timeLeft = aJob.TimeLeft();
+  if (aHeaders.m_timeLeft <= Duration::zero()) {
     call->Abort(CallEnd::NotConnected);
     aJob.m_lastFault = NameOfEnd(call->End());
     co_return nullptr;
   }
   if (aJob.m_account != nullptr) {
-    aMarks.m_account = aJob.m_account->m_name;
+    aHeaders.m_account = aJob.m_account->m_name;
   }
-  call->Send(MakeForwardHeader(aJob, aMarks), aJob.Request().body());
+  call->Send(MakeForwardHeader(aJob, aHeaders), aJob.Request().body());
   if (aJob.m_attempts != 0) {
-    NoteRepeat(aJob, before, aMarks.m_isResumed);
+    NoteRepeat(aJob, before, aHeaders.m_isResumed);
   }
   aJob.m_lastFault = {};
   co_return call;
--- a/Source/Forwarding/RequestJob.h
+++ b/Source/Forwarding/RequestJob.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "Forwarding/CallerLink.h"
+#include "Forwarding/CallerConnection.h"
 #include "Forwarding/ForwardCall.h"
 #include "Forwarding/ForwardServices.h"
 #include "Routing/RoutingConfig.h"
@@ -33,12 +33,12 @@
 struct RequestJob
 {
   ForwardServices& m_services;
-  CallerLinkPtr m_caller;
+  CallerConnectionPtr m_caller;
   boost::intrusive_ptr<const RoutingConfig> m_config;
   const RouteRule* m_route = nullptr;
   const AccountRule* m_account = nullptr;
   std::string m_service;
-  CallerMarks m_marks;
+  CallerHeaders m_headers;
   TimePoint m_arrival;
   TimePoint m_deadline;
 
@@ -73,7 +73,7 @@
 
 // Head of the request as an endpoint gets it.
 std::string
-MakeForwardHeader(const RequestJob& aJob, const ForwardMarks& aMarks);
+MakeForwardHeader(const RequestJob& aJob, const ForwardHeaders& aHeaders);
 
 // Head of an endpoint's answer for the caller; without the signature when the
 // status is not the endpoint's own. A negative length begins a chunked body.
@@ -105,7 +105,7 @@
 StartCall(RequestJob& aJob,
           RunnerPtr aRunner,
           StagePathPtr aPath,
-          ForwardMarks aMarks,
+          ForwardHeaders aHeaders,
           Duration aConnectTimeout);
 
 std::string_view
--- a/Source/Forwarding/StreamForwarder.cxx
+++ b/Source/Forwarding/StreamForwarder.cxx
@@ -27,12 +27,12 @@
 constexpr Duration kResumeLook = std::chrono::milliseconds(60);
 
 std::uint32_t
-CountExpectedTokens(const CallerMarks& aMarks)
+CountExpectedTokens(const CallerHeaders& aHeaders)
 {
-  const std::uint32_t answer = aMarks.m_expectedAnswerTokens != 0
-                                 ? aMarks.m_expectedAnswerTokens
-                                 : aMarks.m_maxAnswerTokens / 2;
-  return aMarks.m_promptTokens + answer;
+  const std::uint32_t answer = aHeaders.m_expectedAnswerTokens != 0
+                                 ? aHeaders.m_expectedAnswerTokens
+                                 : aHeaders.m_maxAnswerTokens / 2;
+  return aHeaders.m_promptTokens + answer;
 }
 
 } // namespace
@@ -41,9 +41,9 @@
   : m_job(aJob)
   , m_services(aJob.m_services)
   , m_desk(aJob.m_services.m_board.DeskOf(aJob.m_service))
-  , m_events(aJob.m_marks.m_lastEventId)
+  , m_events(aJob.m_headers.m_lastEventId)
 {
-  m_job.m_expectedTokens = CountExpectedTokens(m_job.m_marks);
+  m_job.m_expectedTokens = CountExpectedTokens(m_job.m_headers);
 }
 
 asio::awaitable<void>
@@ -51,7 +51,7 @@
 {
   m_desk.m_retries.RecordRequest(BootClock::now());
   for (;;) {
-    if (m_job.m_caller->IsGone()) {
+    if (m_job.m_caller->IsDisconnected()) {
       m_job.m_end = RequestEnd::CallerGone;
       co_return;
     }
@@ -84,9 +84,9 @@
 {
   PathRequest request;
   request.m_tokens = m_job.m_expectedTokens;
-  request.m_promptTokens = m_job.m_marks.m_promptTokens;
+  request.m_promptTokens = m_job.m_headers.m_promptTokens;
   request.m_gapTarget = m_job.m_route->m_gapTarget;
-  request.m_resumeSeed = m_hasBegun ? HashId(m_job.m_marks.m_attemptId) : 0;
+  request.m_resumeSeed = m_hasBegun ? HashId(m_job.m_headers.m_attemptId) : 0;
   request.m_gateways = m_services.m_board.Gateways();
   request.m_excluded = m_job.m_excluded;
   const TimePoint now = BootClock::now();
@@ -132,7 +132,7 @@
          BootClock::now() < until && !m_job.IsOutOfTime()) {
     timer.expires_after(kResumeLook);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    if (m_job.m_caller->IsGone()) {
+    if (m_job.m_caller->IsDisconnected()) {
       co_return true; // noticed at once by the loop
     }
     m_job.m_excluded.clear();
@@ -154,7 +154,7 @@
       (!m_job.m_route->m_isResumable || m_runs >= kMaxRuns)) {
     return false;
   }
-  if (m_job.m_caller->IsGone()) {
+  if (m_job.m_caller->IsDisconnected()) {
     return true; // noticed at once by the loop
   }
   return m_job.m_attempts == 0 || std::exchange(m_hasClaimed, false) ||
@@ -166,8 +166,8 @@
 StreamForwarder::ClaimMove()
 {
   const bool mayMove = m_job.m_route->m_isResumable && m_runs < kMaxRuns &&
-                       !m_job.m_caller->IsGone() && !m_job.IsOutOfTime() &&
-                       ChoosePath().m_path;
+                       !m_job.m_caller->IsDisconnected() &&
+                       !m_job.IsOutOfTime() && ChoosePath().m_path;
   m_hasClaimed =
     mayMove &&
     (m_hasClaimed ||
@@ -186,7 +186,7 @@
 asio::awaitable<void>
 StreamForwarder::GiveUp(RefusalCause aCause)
 {
-  if (m_job.m_caller->IsGone()) {
+  if (m_job.m_caller->IsDisconnected()) {
     m_job.m_end = RequestEnd::CallerGone;
     co_return;
   }
--- a/Source/Forwarding/StreamForwarder.h
+++ b/Source/Forwarding/StreamForwarder.h
@@ -51,7 +51,7 @@
   asio::awaitable<RunVerdict> Try(StagePathPtr aPath);
   void NoteUnreachable(const RunnerPtr& aFirst);
   asio::awaitable<RunVerdict> Receive(ForwardCall& aCall);
-  RunVerdict NoteRefused(ForwardCall& aCall, const AnswerMarks& aMarks);
+  RunVerdict NoteRefused(ForwardCall& aCall, const AnswerHeaders& aHeaders);
   asio::awaitable<RunVerdict> NoteFailure(ForwardCall& aCall);
   asio::awaitable<RunVerdict> RelayEvents(ForwardCall& aCall);
   // False when the caller is gone.
--- a/Source/Forwarding/StreamRerouter.cxx
+++ b/Source/Forwarding/StreamRerouter.cxx
@@ -133,18 +133,18 @@
   for (int i = 0; i < kMaxOrders && aMove.m_path; ++i) {
     const CallResult result = co_await m_client.Call(
       stream.Target()->m_address,
-      m_dialect.MakeReroute(stream.AttemptId(), *aMove.m_path),
+      m_dialect.MakeRerouteOrder(stream.AttemptId(), *aMove.m_path),
       kOrderTimeout,
-      ConnectionChoice::Kept);
+      ConnectionChoice::Reuse);
     if (stream.End() != CallEnd::None) {
       co_return;
     }
     if (!result.m_response) {
       break;
     }
-    const RerouteAnswer answer = m_dialect.ReadReroute(
+    const RerouteAnswer answer = m_dialect.ParseRerouteAnswer(
       result.m_response->result_int(), result.m_response->body());
-    if (answer.m_isTaken) {
+    if (answer.m_isAccepted) {
       stream.TakePath(aMove.m_path);
       stream.SetRerouting(false);
       NoteOutcome(stream, "taken", aMove.m_since);
--- a/Source/Forwarding/StreamRun.cxx
+++ b/Source/Forwarding/StreamRun.cxx
@@ -44,18 +44,18 @@
 StreamForwarder::Try(StagePathPtr aPath)
 {
   const RunnerPtr first = aPath->m_stages.front().m_runner;
-  ForwardMarks marks;
-  marks.m_lastEventId = m_events.LastId();
-  marks.m_isResumed = m_hasBegun;
+  ForwardHeaders headers;
+  headers.m_lastEventId = m_events.LastId();
+  headers.m_isResumed = m_hasBegun;
   const ForwardCallPtr call = co_await StartCall(
     m_job,
     first,
     aPath,
-    marks,
+    headers,
     std::min<Duration>(kConnectTimeout, m_job.TimeLeft() / 2));
   if (!call) {
     m_job.m_excluded.push_back(first->m_id);
-    if (!m_job.m_caller->IsGone()) {
+    if (!m_job.m_caller->IsDisconnected()) {
       NoteUnreachable(first);
     }
     co_return RunVerdict::NotRun;
@@ -99,39 +99,40 @@
   }
   const ForwardCall::Header& answer = aCall.Answer();
   const unsigned status = answer.result_int();
-  const AnswerMarks marks = m_services.m_dialect.ReadAnswer(status, answer);
-  const bool isForeign = marks.m_attemptId.empty()
+  const AnswerHeaders headers =
+    m_services.m_dialect.ParseAnswerHeaders(status, answer);
+  const bool isForeign = headers.m_attemptId.empty()
                            ? status < kFirstClientError
-                           : marks.m_attemptId != m_job.m_marks.m_attemptId;
+                           : headers.m_attemptId != m_job.m_headers.m_attemptId;
   if (isForeign) {
     aCall.Abort(CallEnd::Foreign);
     co_return NoteBroken(aCall);
   }
-  if (marks.m_load) {
+  if (headers.m_load) {
     aCall.Target()->m_load->RecordReport(
-      BootClock::now(), marks.m_load->m_waiting, marks.m_load->m_running);
+      BootClock::now(), headers.m_load->m_waiting, headers.m_load->m_running);
   }
-  if (marks.m_isNotRun) {
-    co_return NoteRefused(aCall, marks);
+  if (headers.m_isNotExecuted) {
+    co_return NoteRefused(aCall, headers);
   }
-  if (status >= kFirstClientError || !marks.m_isSigned) {
+  if (status >= kFirstClientError || !headers.m_isSigned) {
     co_return co_await NoteFailure(aCall);
   }
   co_return co_await RelayEvents(aCall);
 }
 
 RunVerdict
-StreamForwarder::NoteRefused(ForwardCall& aCall, const AnswerMarks& aMarks)
+StreamForwarder::NoteRefused(ForwardCall& aCall, const AnswerHeaders& aHeaders)
 {
   --m_runs;
   const TimePoint now = BootClock::now();
   // Dead, leaving, giving up its layers or short of memory: only the first
   // concerns the streams that it has.
-  RunnerPtr faulty = m_services.m_doctor.FindByAddress(aMarks.m_faultAddress);
+  RunnerPtr faulty = m_services.m_doctor.FindByAddress(aHeaders.m_faultAddress);
   if (!faulty) {
     faulty = aCall.Target();
   }
-  const bool isElsewhere = aMarks.m_isOtherEndpoint;
+  const bool isElsewhere = aHeaders.m_isMisdirected;
   faulty->m_load->Shun(now, isElsewhere ? kMovedShun : kFullShun);
   m_desk.m_paths.Invalidate();
   m_services.m_doctor.Doubt(now, faulty);
@@ -155,8 +156,8 @@
     m_job.m_lastFault = "endpoint_failed";
     co_return RunVerdict::Broken;
   }
-  const bool isPassedOn =
-    status >= kFirstClientError && !m_services.m_dialect.IsPromise(status);
+  const bool isPassedOn = status >= kFirstClientError &&
+                          !m_services.m_dialect.IsNotExecutedStatus(status);
   m_job.m_status = isPassedOn ? status : kBadGateway;
   m_job.m_end = RequestEnd::Failed;
   m_job.m_why = "the endpoint answered " + std::to_string(status);
@@ -217,11 +218,12 @@
   if (!m_hasBegun) {
     m_hasBegun = true;
     m_job.m_firstAfter = now - m_job.m_arrival;
-    m_services.m_metrics.RecordFirst(m_job.m_route->m_kind, m_job.m_firstAfter);
+    m_services.m_metrics.RecordFirstAnswer(m_job.m_route->m_kind,
+                                           m_job.m_firstAfter);
     out = MakeAnswerHeader(m_job, m_job.m_status, aCall.Answer(), -1);
   } else {
     m_job.m_longestGap = std::max(m_job.m_longestGap, now - m_lastEventAt);
-    m_services.m_metrics.RecordGap(now - m_lastEventAt);
+    m_services.m_metrics.RecordEventGap(now - m_lastEventAt);
   }
   m_lastEventAt = now;
   AppendChunk(out, events);
@@ -253,7 +255,7 @@
   m_job.m_lastFault = NameOfEnd(end);
   m_events.DropPart();
   if (end == CallEnd::Stalled) {
-    m_services.m_pool.Drop(*aCall.Target());
+    m_services.m_pool.CloseIdle(*aCall.Target());
   }
   if (end != CallEnd::StageLost) {
     m_job.m_excluded.push_back(aCall.Target()->m_id);
--- a/Source/Gateway/ActionExchange.cxx
+++ b/Source/Gateway/ActionExchange.cxx
@@ -186,7 +186,7 @@
   // An answer after the caller's deadline still settles the ledger.
   const Duration timeout = m_call.m_deadline + kSettleTime - Now();
   const CallResult result = co_await m_worker.Endpoints().Call(
-    aTarget.m_address, std::move(request), timeout, ConnectionChoice::Fresh);
+    aTarget.m_address, std::move(request), timeout, ConnectionChoice::New);
   m_trace.EndSpan(span, !result.m_response, { { "endpoint", aTarget.m_id } });
   if (result.m_response) {
     co_return co_await SettleResponse(aAttempt, *result.m_response);
--- a/Source/Gateway/IdempotentCall.cxx
+++ b/Source/Gateway/IdempotentCall.cxx
@@ -135,7 +135,7 @@
     aTarget->m_address,
     std::move(request),
     TryTimeout(start),
-    aIsRetry ? ConnectionChoice::Fresh : ConnectionChoice::Kept);
+    aIsRetry ? ConnectionChoice::New : ConnectionChoice::Reuse);
   const TimePoint end = m_services.m_clock.Now();
   aTarget->m_load->RemoveStream();
   if (IsGoodAnswer(result)) {
--- a/Source/Gateway/StepChannel.cxx
+++ b/Source/Gateway/StepChannel.cxx
@@ -40,7 +40,7 @@
     co_return std::move(*outcome);
   }
   StepOutcome silent;
-  silent.m_reason.Set(CallError::Silent,
+  silent.m_reason.Set(CallError::NoAnswer,
                       "no result from " + m_address.ToString());
   m_wantsFreshConnection = true;
   co_return silent;
@@ -93,8 +93,8 @@
   HttpRequest request =
     EndpointClient::MakeJsonPost(m_address, "/engine/steps", PrintSteps(steps));
   const ConnectionChoice choice = std::exchange(m_wantsFreshConnection, false)
-                                    ? ConnectionChoice::Fresh
-                                    : ConnectionChoice::Kept;
+                                    ? ConnectionChoice::New
+                                    : ConnectionChoice::Reuse;
   const Duration timeout = deadline - BootClock::now();
   const CallResult result =
     co_await m_client.Call(m_address, std::move(request), timeout, choice);
--- a/Tests/Forwarding/PlainForwardTest.cxx
+++ b/Tests/Forwarding/PlainForwardTest.cxx
@@ -11,14 +11,14 @@
 std::vector<StubStep>
 AnswerOk(const HttpRequest& aRequest)
 {
-  return { Send(MakeAnswer(AttemptOf(aRequest), 200, "done")) };
+  return { Send(MakeAnswer(AttemptIdOf(aRequest), 200, "done")) };
 }
 
 std::vector<StubStep>
-SayNotRun(const HttpRequest& aRequest)
+AnswerNotExecuted(const HttpRequest& aRequest)
 {
   return { Send(
-    MakeAnswer(AttemptOf(aRequest), 503, "", "Not-Executed: 1\r\n")) };
+    MakeAnswer(AttemptIdOf(aRequest), 503, "", "Not-Executed: 1\r\n")) };
 }
 
 std::vector<StubStep>
@@ -40,13 +40,13 @@
   void StartTwo(const StubEndpoint::Script& aScript)
   {
     m_fixture->PutConfig();
-    m_one = &m_fixture->AddPlain();
-    m_two = &m_fixture->AddPlain();
+    m_one = &m_fixture->AddPlainEndpoint();
+    m_two = &m_fixture->AddPlainEndpoint();
     m_one->SetScript(aScript);
     m_two->SetScript(aScript);
     m_fixture->Start();
   }
-  std::size_t Sent() const
+  std::size_t RequestCount() const
   {
     return m_one->Requests().size() + m_two->Requests().size();
   }
@@ -60,7 +60,7 @@
 {
   StartTwo(AnswerOk);
   const std::string answer =
-    m_fixture->Ask("POST", "/unsafe/x?q=1", "X-Own: 7\r\n", "body");
+    m_fixture->SendRequest("POST", "/unsafe/x?q=1", "X-Own: 7\r\n", "body");
   CHECK_EQUAL(200, StatusOf(answer));
   CHECK(answer.ends_with("\r\n\r\ndone"));
   CHECK(answer.find("Response-Signature: s1") != std::string::npos);
@@ -78,8 +78,9 @@
 TEST(PlainForward, AnUnsafeRequestThatMayHaveRunIsNeverSentAgain)
 {
   StartTwo(CloseWithoutAnswer);
-  CHECK_EQUAL(502, StatusOf(m_fixture->Ask("POST", "/unsafe/x", "", "b")));
-  CHECK_EQUAL(1U, Sent());
+  CHECK_EQUAL(502,
+              StatusOf(m_fixture->SendRequest("POST", "/unsafe/x", "", "b")));
+  CHECK_EQUAL(1U, RequestCount());
   CHECK_FALSE(m_fixture->m_sink.Has({ "request_sent_again" }));
   CHECK_EQUAL(0, m_fixture->MetricOf("parsleycove_repeats_total"));
   CHECK(m_fixture->m_sink.Has(
@@ -89,17 +90,18 @@
 TEST(PlainForward, AnUnsafeRequestThatDidNotRunIsSentAgain)
 {
   m_fixture->PutConfig();
-  m_one = &m_fixture->AddPlain();
-  m_two = &m_fixture->AddPlain();
+  m_one = &m_fixture->AddPlainEndpoint();
+  m_two = &m_fixture->AddPlainEndpoint();
   int calls = 0;
   const auto script = [&](const HttpRequest& aRequest) {
-    return ++calls == 1 ? SayNotRun(aRequest) : AnswerOk(aRequest);
+    return ++calls == 1 ? AnswerNotExecuted(aRequest) : AnswerOk(aRequest);
   };
   m_one->SetScript(script);
   m_two->SetScript(script);
   m_fixture->Start();
-  CHECK_EQUAL(200, StatusOf(m_fixture->Ask("POST", "/unsafe/x", "", "b")));
-  CHECK_EQUAL(2U, Sent());
+  CHECK_EQUAL(200,
+              StatusOf(m_fixture->SendRequest("POST", "/unsafe/x", "", "b")));
+  CHECK_EQUAL(2U, RequestCount());
   CHECK(m_fixture->m_sink.Has(
     { "request_sent_again", "\"id\":\"a1\"", "endpoint_refused" }));
   CHECK_EQUAL(1, m_fixture->MetricOf("parsleycove_repeats_total"));
@@ -107,8 +109,9 @@
 
 TEST(PlainForward, WhenNobodyRanItTheCallerIsToldAndWhenToComeBack)
 {
-  StartTwo(SayNotRun);
-  const std::string answer = m_fixture->Ask("POST", "/unsafe/x", "", "b");
+  StartTwo(AnswerNotExecuted);
+  const std::string answer =
+    m_fixture->SendRequest("POST", "/unsafe/x", "", "b");
   CHECK_EQUAL(503, StatusOf(answer));
   CHECK(answer.find("Retry-After: 0.") != std::string::npos);
   CHECK(m_fixture->m_sink.Has({ "request_refused",
@@ -120,9 +123,10 @@
 {
   StartTwo([](const HttpRequest& aRequest) {
     return std::vector<StubStep>{ Send(
-      MakeAnswer(AttemptOf(aRequest), 503, "")) };
+      MakeAnswer(AttemptIdOf(aRequest), 503, "")) };
   });
-  const std::string answer = m_fixture->Ask("POST", "/unsafe/x", "", "b");
+  const std::string answer =
+    m_fixture->SendRequest("POST", "/unsafe/x", "", "b");
   CHECK_EQUAL(502, StatusOf(answer));
   CHECK(answer.find("Response-Signature") == std::string::npos);
 }
@@ -130,8 +134,8 @@
 TEST(PlainForward, ASafeRequestGoesElsewhereAfterAnyFailure)
 {
   m_fixture->PutConfig();
-  m_one = &m_fixture->AddPlain();
-  m_two = &m_fixture->AddPlain();
+  m_one = &m_fixture->AddPlainEndpoint();
+  m_two = &m_fixture->AddPlainEndpoint();
   int calls = 0;
   const auto script = [&](const HttpRequest& aRequest) {
     return ++calls == 1 ? CloseWithoutAnswer(aRequest) : AnswerOk(aRequest);
@@ -139,14 +143,14 @@
   m_one->SetScript(script);
   m_two->SetScript(script);
   m_fixture->Start();
-  CHECK_EQUAL(200, StatusOf(m_fixture->Ask("GET", "/safe/x")));
+  CHECK_EQUAL(200, StatusOf(m_fixture->SendRequest("GET", "/safe/x")));
 }
 
 TEST(PlainForward, ASilentEndpointOfASafeRequestIsLeft)
 {
   m_fixture->PutConfig();
-  m_one = &m_fixture->AddPlain();
-  m_two = &m_fixture->AddPlain();
+  m_one = &m_fixture->AddPlainEndpoint();
+  m_two = &m_fixture->AddPlainEndpoint();
   int calls = 0;
   const auto script = [&](const HttpRequest& aRequest) {
     return ++calls == 1 ? std::vector<StubStep>{ Hang() } : AnswerOk(aRequest);
@@ -154,7 +158,7 @@
   m_one->SetScript(script);
   m_two->SetScript(script);
   m_fixture->Start();
-  CHECK_EQUAL(200, StatusOf(m_fixture->Ask("GET", "/safe/x")));
+  CHECK_EQUAL(200, StatusOf(m_fixture->SendRequest("GET", "/safe/x")));
   CHECK(m_fixture->m_sink.Has({ "endpoint_suspected", "\"overdue\"" }));
 }
 
@@ -164,7 +168,8 @@
     return std::vector<StubStep>{ Send(MakeAnswer("other", 200, "theirs")),
                                   CloseNow() };
   });
-  const std::string answer = m_fixture->Ask("POST", "/unsafe/x", "", "b");
+  const std::string answer =
+    m_fixture->SendRequest("POST", "/unsafe/x", "", "b");
   CHECK_EQUAL(502, StatusOf(answer));
   CHECK(answer.find("theirs") == std::string::npos);
 }
@@ -174,9 +179,10 @@
   StartTwo([](const HttpRequest& aRequest) {
     return std::vector<StubStep>{ Send(
       MakeAnswer("other", 200, "theirs") +
-      MakeAnswer(AttemptOf(aRequest), 200, "mine")) };
+      MakeAnswer(AttemptIdOf(aRequest), 200, "mine")) };
   });
-  const std::string answer = m_fixture->Ask("POST", "/unsafe/x", "", "b");
+  const std::string answer =
+    m_fixture->SendRequest("POST", "/unsafe/x", "", "b");
   CHECK_EQUAL(200, StatusOf(answer));
   CHECK(answer.ends_with("mine"));
 }
@@ -185,21 +191,24 @@
 {
   StartTwo([](const HttpRequest& aRequest) {
     return std::vector<StubStep>{ Send(
-      MakeAnswer(AttemptOf(aRequest), 200, "mine") + "HTTP/1.1 200 OK\r\n") };
+      MakeAnswer(AttemptIdOf(aRequest), 200, "mine") + "HTTP/1.1 200 OK\r\n") };
   });
-  CHECK_EQUAL(200, StatusOf(m_fixture->Ask("POST", "/unsafe/x", "", "b")));
-  CHECK_EQUAL(200, StatusOf(m_fixture->Ask("POST", "/unsafe/x", "", "b")));
+  CHECK_EQUAL(200,
+              StatusOf(m_fixture->SendRequest("POST", "/unsafe/x", "", "b")));
+  CHECK_EQUAL(200,
+              StatusOf(m_fixture->SendRequest("POST", "/unsafe/x", "", "b")));
   CHECK_EQUAL(2, m_one->Connections() + m_two->Connections());
 }
 
 TEST(PlainForward, ATruncatedAnswerIsNoAnswer)
 {
   StartTwo([](const HttpRequest& aRequest) {
-    std::string answer = MakeAnswer(AttemptOf(aRequest), 200, "whole body");
+    std::string answer = MakeAnswer(AttemptIdOf(aRequest), 200, "whole body");
     answer.resize(answer.size() - 4);
     return std::vector<StubStep>{ Send(answer), CloseNow() };
   });
-  CHECK_EQUAL(502, StatusOf(m_fixture->Ask("POST", "/unsafe/x", "", "b")));
+  CHECK_EQUAL(502,
+              StatusOf(m_fixture->SendRequest("POST", "/unsafe/x", "", "b")));
 }
 
 TEST(PlainForward, BytesThatAreNoAnswerAreContained)
@@ -207,7 +216,8 @@
   StartTwo([](const HttpRequest&) {
     return std::vector<StubStep>{ Send("garbage garbage\r\n\r\n"), Hang() };
   });
-  CHECK_EQUAL(502, StatusOf(m_fixture->Ask("POST", "/unsafe/x", "", "b")));
+  CHECK_EQUAL(502,
+              StatusOf(m_fixture->SendRequest("POST", "/unsafe/x", "", "b")));
 }
 
 TEST(PlainForward, AKeptConnectionServesTheNextRequest)
@@ -215,7 +225,7 @@
   StartTwo(AnswerOk);
   m_two->Stop();
   for (int i = 0; i < 6; ++i) {
-    m_fixture->Ask("GET", "/safe/x");
+    m_fixture->SendRequest("GET", "/safe/x");
   }
   CHECK_EQUAL(1, m_one->Connections());
 }
@@ -225,7 +235,7 @@
   StartTwo([](const HttpRequest&) { return std::vector<StubStep>{ Hang() }; });
   const auto caller = m_fixture->Connect();
   caller->Send(MakeRequest("POST", "/unsafe/x", "", "b"));
-  CHECK(m_fixture->RunUntil([&] { return Sent() == 1; }));
+  CHECK(m_fixture->RunUntil([&] { return RequestCount() == 1; }));
   caller->Close();
   CHECK(m_fixture->RunUntil(
     [&] { return m_one->Abandoned() + m_two->Abandoned() == 1; }));
@@ -234,19 +244,20 @@
 TEST(PlainForward, TheRoutesTimeoutEndsTheWait)
 {
   StartTwo([](const HttpRequest&) { return std::vector<StubStep>{ Hang() }; });
-  CHECK_EQUAL(504, StatusOf(m_fixture->Ask("POST", "/unsafe/x", "", "b")));
+  CHECK_EQUAL(504,
+              StatusOf(m_fixture->SendRequest("POST", "/unsafe/x", "", "b")));
 }
 
 TEST(PlainForward, ARequestWithoutARouteOrAKeyIsToldSo)
 {
   StartTwo(AnswerOk);
-  CHECK_EQUAL(404, StatusOf(m_fixture->Ask("GET", "/none/x")));
+  CHECK_EQUAL(404, StatusOf(m_fixture->SendRequest("GET", "/none/x")));
   const auto caller = m_fixture->Connect();
   caller->Send("GET /safe/x HTTP/1.1\r\nHost: one.example\r\n"
                "Authorization: Bearer other\r\nConnection: close\r\n\r\n");
   CHECK(m_fixture->RunUntil([&] { return caller->IsClosed(); }));
   CHECK_EQUAL(401, StatusOf(caller->Received()));
-  CHECK_EQUAL(0U, Sent());
+  CHECK_EQUAL(0U, RequestCount());
 }
 
 // Load pattern: the VM's feed broke just before a version was accepted. Its
@@ -270,27 +281,27 @@
 {
   StartTwo(AnswerOk);
   m_fixture->m_control.SetConfirm([] { return false; });
-  const std::string answer = m_fixture->Ask("GET", "/none/x");
+  const std::string answer = m_fixture->SendRequest("GET", "/none/x");
   CHECK_EQUAL(503, StatusOf(answer));
   CHECK(answer.find("Retry-After: ") != std::string::npos);
   CHECK(m_fixture->m_sink.Has({ "request_refused", "no_lease" }));
-  CHECK_EQUAL(200, StatusOf(m_fixture->Ask("GET", "/safe/x")));
+  CHECK_EQUAL(200, StatusOf(m_fixture->SendRequest("GET", "/safe/x")));
 }
 
 TEST(PlainForward, WithoutALeaseAKeyIsNotTrusted)
 {
   StartTwo(AnswerOk);
   m_fixture->m_control.SetLease(false);
-  const std::string answer = m_fixture->Ask("GET", "/safe/x");
+  const std::string answer = m_fixture->SendRequest("GET", "/safe/x");
   CHECK_EQUAL(503, StatusOf(answer));
-  CHECK_EQUAL(0U, Sent());
+  CHECK_EQUAL(0U, RequestCount());
   CHECK(m_fixture->m_sink.Has({ "request_refused", "no_lease" }));
 }
 
 TEST(PlainForward, ACopyThatComesSoonIsWaitedFor)
 {
-  m_one = &m_fixture->AddPlain();
-  m_two = &m_fixture->AddPlain();
+  m_one = &m_fixture->AddPlainEndpoint();
+  m_two = &m_fixture->AddPlainEndpoint();
   m_one->SetScript(AnswerOk);
   m_two->SetScript(AnswerOk);
   m_fixture->Start();
@@ -305,14 +316,14 @@
 TEST(PlainForward, LimitsOfTheConfigurationHold)
 {
   StartTwo(AnswerOk);
-  CHECK_EQUAL(
-    413,
-    StatusOf(m_fixture->Ask("POST", "/unsafe/x", "", std::string(5000, 'b'))));
+  CHECK_EQUAL(413,
+              StatusOf(m_fixture->SendRequest(
+                "POST", "/unsafe/x", "", std::string(5000, 'b'))));
   CHECK_EQUAL(
     431,
-    StatusOf(m_fixture->Ask(
+    StatusOf(m_fixture->SendRequest(
       "GET", "/safe/x", "X-Long: " + std::string(3000, 'h') + "\r\n")));
-  CHECK_EQUAL(0U, Sent());
+  CHECK_EQUAL(0U, RequestCount());
 }
 
 TEST(PlainForward, AStoppingGatewayFinishesWhatItHasAndRefusesTheRest)
@@ -320,11 +331,11 @@
   StartTwo([](const HttpRequest& aRequest) {
     return std::vector<StubStep>{ Pause(std::chrono::milliseconds(300)),
                                   Send(MakeAnswer(
-                                    AttemptOf(aRequest), 200, "done")) };
+                                    AttemptIdOf(aRequest), 200, "done")) };
   });
   const auto caller = m_fixture->Connect();
   caller->Send(MakeRequest("POST", "/unsafe/x", "", "b"));
-  CHECK(m_fixture->RunUntil([&] { return Sent() == 1; }));
+  CHECK(m_fixture->RunUntil([&] { return RequestCount() == 1; }));
   m_fixture->m_gateway->BeginStop();
   CHECK_FALSE(m_fixture->m_gateway->IsReady(BootClock::now()));
   CHECK(m_fixture->RunUntil([&] { return caller->IsClosed(); }));
@@ -332,5 +343,5 @@
   CHECK(caller->Received().find("Connection: close") != std::string::npos);
   CHECK(m_fixture->RunUntil(
     [&] { return m_fixture->m_gateway->IsStopped(BootClock::now()); }));
-  CHECK_EQUAL(503, StatusOf(m_fixture->Ask("GET", "/safe/x")));
+  CHECK_EQUAL(503, StatusOf(m_fixture->SendRequest("GET", "/safe/x")));
 }
--- a/Tests/Forwarding/StreamRerouteTest.cxx
+++ b/Tests/Forwarding/StreamRerouteTest.cxx
@@ -28,8 +28,8 @@
     m_first = &m_fixture->AddEngine(0, 2);
     m_other = &m_fixture->AddEngine(2, 4);
     m_spare = &m_fixture->AddEngine(2, 4);
-    m_other->SetScript(WithState(StreamAll));
-    m_spare->SetScript(WithState(StreamAll));
+    m_other->SetScript(WithEngineState(StreamAll));
+    m_spare->SetScript(WithEngineState(StreamAll));
     m_fixture->Start();
   }
   bool UsesOther(const HttpRequest& aRequest) const
@@ -54,10 +54,10 @@
         return std::vector<StubStep>{ Send(
           "HTTP/1.1 " + aStatus + "\r\nContent-Length: 0\r\n\r\n") };
       }
-      return WithState([this, aOnStream](const HttpRequest& aStream) {
+      return WithEngineState([this, aOnStream](const HttpRequest& aStream) {
         ++m_calls;
         aOnStream(aStream);
-        return std::vector<StubStep>{ Send(MakeStreamHead(AttemptOf(aStream))),
+        return std::vector<StubStep>{ Send(MakeStreamHead(AttemptIdOf(aStream))),
                                       Send(MakeEvent(1) + MakeEvent(2)),
                                       Await([this] { return m_orders != 0; }),
                                       Send(MakeEvent(3) + MakeEvent(4)),
@@ -68,7 +68,7 @@
   }
   std::string Ask(const std::string& aPath)
   {
-    return m_fixture->Ask("POST", aPath, kStreamHeader, "prompt");
+    return m_fixture->SendRequest("POST", aPath, kStreamHeader, "prompt");
   }
 
   // One engine for all layers. It answers questions by aAnswer, which gets
@@ -84,7 +84,7 @@
       const auto asked = [this](int aTimes) {
         return Await([this, aTimes] { return m_questions >= aTimes; });
       };
-      return std::vector<StubStep>{ Send(MakeStreamHead(AttemptOf(aRequest))),
+      return std::vector<StubStep>{ Send(MakeStreamHead(AttemptIdOf(aRequest))),
                                     Send(MakeEvent(1) + MakeEvent(2)),
                                     asked(aGoesOnAt),
                                     Send(MakeEvent(3)),
@@ -116,7 +116,7 @@
 TEST(StreamReroute, ASilentStageIsFoundByAskingAndLeft)
 {
   StartWithSpare();
-  m_first->SetScript(WithState([&](const HttpRequest& aRequest) {
+  m_first->SetScript(WithEngineState([&](const HttpRequest& aRequest) {
     if (++m_calls > 1) {
       return StreamAll(aRequest);
     }
@@ -178,7 +178,7 @@
         "HTTP/1.1 409 Conflict\r\nContent-Length: " +
         std::to_string(body.size()) + "\r\n\r\n" + body) };
     }
-    return WithState([&](const HttpRequest& aStream) {
+    return WithEngineState([&](const HttpRequest& aStream) {
       if (++m_calls > 1) {
         return StreamAll(aStream);
       }
@@ -224,9 +224,9 @@
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 4);
   m_other = &m_fixture->AddEngine(0, 4);
-  m_first->SetScript(WithState(StreamAll));
-  m_other->SetScript(WithState(StreamAll));
-  m_fixture->Suspect(*m_first);
+  m_first->SetScript(WithEngineState(StreamAll));
+  m_other->SetScript(WithEngineState(StreamAll));
+  m_fixture->ReportSuspected(*m_first);
   m_fixture->Start();
   CHECK(m_fixture->RunUntil([this] {
     return m_fixture->m_sink.Has(
@@ -255,7 +255,7 @@
   TakeOrders("202 Accepted", [&](const HttpRequest& aStream) {
     dark = UsesOther(aStream) ? m_other : m_spare;
     dark->SetScript(hang);
-    m_fixture->Suspect(*dark);
+    m_fixture->ReportSuspected(*dark);
   });
   CheckAllEventsOnce(Ask("/stream/x"));
   CHECK_EQUAL(1, m_orders);
@@ -299,8 +299,8 @@
 {
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 4);
-  m_first->SetScript(WithState(StreamAll));
-  m_fixture->Suspect(*m_first);
+  m_first->SetScript(WithEngineState(StreamAll));
+  m_fixture->ReportSuspected(*m_first);
   m_fixture->Start();
   CHECK(m_fixture->RunUntil([this] {
     return m_fixture->m_sink.Has(
--- a/Tests/Soak/SoakBackend.cxx
+++ b/Tests/Soak/SoakBackend.cxx
@@ -176,7 +176,7 @@
     request.body() = MakeReport();
     request.prepare_payload();
     const CallResult result = co_await m_client.Call(
-      control, request, kHeartbeatTimeoutMs, ConnectionChoice::Fresh);
+      control, request, kHeartbeatTimeoutMs, ConnectionChoice::New);
     const bool isTaken =
       result.m_response && result.m_response->result_int() == 200;
     if (!isTaken) {
--- a/Tests/Soak/SoakCallers.cxx
+++ b/Tests/Soak/SoakCallers.cxx
@@ -79,7 +79,7 @@
   request.prepare_payload();
   m_ledger.NoteSent(aAttempt, aKind, aKey, BootClock::now());
   const CallResult result = co_await m_client.Call(
-    aEntry, std::move(request), patience, ConnectionChoice::Kept);
+    aEntry, std::move(request), patience, ConnectionChoice::Reuse);
   if (!result.m_response) {
     m_ledger.NoteUnserved();
     co_return;
--- a/Tests/Soak/SoakOperator.cxx
+++ b/Tests/Soak/SoakOperator.cxx
@@ -78,7 +78,7 @@
     request.body() = body;
     request.prepare_payload();
     const CallResult result = co_await m_client.Call(
-      control, request, kCallTimeoutMs, ConnectionChoice::Fresh);
+      control, request, kCallTimeoutMs, ConnectionChoice::New);
     if (result.m_response && result.m_response->result_int() == 200) {
       break;
     }
@@ -129,7 +129,7 @@
   HttpRequest request(http::verb::get, "/parsleycove/config", kHttp11);
   request.set(http::field::host, aControl.ToString());
   const CallResult result = co_await m_client.Call(
-    aControl, request, kCallTimeoutMs, ConnectionChoice::Fresh);
+    aControl, request, kCallTimeoutMs, ConnectionChoice::New);
   if (!result.m_response || result.m_response->result_int() != 200) {
     co_return;
   }
