--- a/Source/Forwarding/AcceptLoop.cxx
+++ b/Source/Forwarding/AcceptLoop.cxx
@@ -1,4 +1,4 @@
-// Takes connections on one address and runs a coroutine for each.
+// Accepts connections on one address and runs a coroutine for each.
 #include "Forwarding/AcceptLoop.h"
 
 #include <utility>
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-// Wait after a failed accept, for example while descriptors are short.
+// Delay after a failed accept, for example while no file descriptor is free.
 constexpr std::chrono::milliseconds kAcceptRetryDelay{ 20 };
 constexpr int kBacklog = 1024;
 
@@ -55,7 +55,7 @@
     }
   }
 
-  // One line for all failures in a row.
+  // Logs only the first of several failures in a row.
   void LogAcceptFailure(const beast::error_code& aError)
   {
     if (!std::exchange(m_isFailing, true) && m_acceptor.is_open()) {
@@ -74,7 +74,7 @@
       std::rethrow_exception(aFault);
     } catch (const std::exception& fault) {
       Log(LogLevel::Error,
-          "a connection was given up",
+          "a connection was closed after an exception in its handler",
           { { "fault", fault.what() } });
     }
   }
--- a/Source/Forwarding/AcceptLoop.h
+++ b/Source/Forwarding/AcceptLoop.h
@@ -1,4 +1,4 @@
-// Takes connections on one address and runs a coroutine for each.
+// Accepts connections on one address and runs a coroutine for each.
 #pragma once
 
 #include <functional>
@@ -10,8 +10,8 @@
 
 namespace parsleycove {
 
-// Connections beyond the limit are closed at once, so that their callers turn
-// to another VM.
+// Connections beyond the limit are closed at once, so that their callers
+// connect to another VM.
 class AcceptLoop
 {
 public:
@@ -22,7 +22,7 @@
   AcceptLoop(const AcceptLoop&) = delete;
   AcceptLoop& operator=(const AcceptLoop&) = delete;
 
-  // False with the reason when the address cannot be taken.
+  // Returns false and sets aReason if the address cannot be bound.
   bool Open(const SocketAddress& aListen, std::string& aReason);
   void Start(ConnectionHandler aHandler);
   void Close();
--- a/Source/Forwarding/AsyncSlot.h
+++ b/Source/Forwarding/AsyncSlot.h
@@ -1,4 +1,4 @@
-// A value that one coroutine waits for and another part of the thread sets.
+// A value that one coroutine awaits and other code on the same thread sets.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace parsleycove {
 
-// Invariant: used from one thread only, the one that runs its executor.
+// Invariant: used only from the thread that runs its executor.
 template<typename Value>
 class AsyncSlot
 {
@@ -25,7 +25,7 @@
   {
   }
 
-  // Sets the value once; later ones are ignored.
+  // Sets the value unless one is already set.
   void Set(Value aValue)
   {
     if (!m_value) {
@@ -34,7 +34,7 @@
     }
   }
 
-  // Returns the value, or nothing once the time-out has passed.
+  // Returns the value, or std::nullopt if none was set within the time-out.
   boost::asio::awaitable<std::optional<Value>> Await(Duration aTimeout)
   {
     if (!m_value) {
--- a/Source/Forwarding/CallResult.h
+++ b/Source/Forwarding/CallResult.h
@@ -1,4 +1,4 @@
-// What became of one HTTP call to an endpoint.
+// Result of one HTTP call to an endpoint.
 #pragma once
 
 #include <optional>
@@ -12,11 +12,11 @@
 enum class CallError
 {
   None,
-  // No connection: not a byte has left.
+  // No connection was made: no byte was sent.
   NotConnected,
-  // The connection broke after bytes may have left.
+  // The connection broke after bytes may have been sent.
   Broken,
-  // No answer within the time-out; bytes have left.
+  // No answer came within the time-out; bytes were sent.
   NoAnswer,
 };
 using CallReason = Reason<CallError>;
@@ -25,10 +25,10 @@
 {
   std::optional<HttpResponse> m_response;
   CallReason m_reason;
-  // The failure is a wait that ended.
+  // The call failed because a time-out expired.
   bool m_hasTimedOut = false;
 
-  // True while the endpoint cannot have seen the call.
+  // Returns true if the endpoint cannot have received any part of the call.
   bool IsUnsent() const { return m_reason.m_code == CallError::NotConnected; }
 };
 
--- a/Source/Forwarding/CallerConnection.cxx
+++ b/Source/Forwarding/CallerConnection.cxx
@@ -1,4 +1,4 @@
-// A caller's connection: whole requests in, answers out.
+// A caller's connection: reads complete requests and writes answers.
 #include "Forwarding/CallerConnection.h"
 
 #include <utility>
@@ -49,7 +49,7 @@
   if (headerError) {
     co_return ClassifyReadError(headerError);
   }
-  // The body has as long as an idle connection.
+  // The time-out of idle connections also limits the time for the body.
   SetDeadline(BootClock::now() + aLimits.m_idleTimeout);
   if (!parser.is_done()) {
     const auto [bodyError, bodyBytes] =
@@ -128,7 +128,8 @@
       char byte = 0;
       const std::size_t bytes = self->m_socket.receive(
         asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
-      // The next request may come early; its bytes stay where they are.
+      // The caller may send its next request early; the bytes of that request
+      // stay in the socket.
       if (bytes != 0) {
         return;
       }
--- a/Source/Forwarding/CallerConnection.h
+++ b/Source/Forwarding/CallerConnection.h
@@ -1,4 +1,4 @@
-// A caller's connection: whole requests in, answers out.
+// A caller's connection: reads complete requests and writes answers.
 #pragma once
 
 #include <functional>
@@ -19,7 +19,7 @@
 enum class ReadResult
 {
   Request,
-  // The caller closed, broke off or stayed idle.
+  // The caller closed or reset the connection, or stayed idle too long.
   Closed,
   HeaderTooLarge,
   BodyTooLarge,
@@ -27,7 +27,8 @@
   Malformed,
 };
 
-// Invariant: one operation at a time, but for the watch on the caller's end.
+// Invariant: at most one operation at a time, apart from the watch for a
+// disconnect.
 class CallerConnection final
   : public Watched
   , public std::enable_shared_from_this<CallerConnection>
@@ -37,13 +38,15 @@
 
   asio::awaitable<ReadResult> ReadRequest(const CallerLimits& aLimits);
   const HttpRequest& Request() const { return m_request; }
-  // True while bytes of a request that is not whole have come.
+  // Returns true while only a part of a request has been received.
   bool IsReading() const { return m_isReading; }
 
-  // False when the caller is gone.
+  // Returns false if the caller has disconnected or the bytes could not be
+  // written within aTimeout.
   asio::awaitable<bool> Write(std::string aBytes, Duration aTimeout);
 
-  // Calls back once if the caller closes while its request is served.
+  // Calls aOnDisconnect once if the caller closes the connection while its
+  // request is served.
   void WatchForDisconnect(std::function<void()> aOnDisconnect);
   void StopWatching();
   bool IsDisconnected() const { return m_isDisconnected; }
@@ -51,7 +54,7 @@
   void CloseAfterAnswer() { m_closesAfterAnswer = true; }
   bool ClosesAfterAnswer() const { return m_closesAfterAnswer; }
   void Close();
-  // An idle connection is closed without an answer.
+  // Closes the connection without an answer if no request has begun on it.
   void CloseIfIdle();
 
   void OnOverdue(TimePoint aNow) override;
--- a/Source/Forwarding/ConnectionPool.cxx
+++ b/Source/Forwarding/ConnectionPool.cxx
@@ -1,4 +1,4 @@
-// Idle connections to endpoints.
+// Pool of idle connections to endpoints.
 #include "Forwarding/ConnectionPool.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kMaxIdlePerEndpoint = 64;
 
-// An idle connection that became readable was closed by the other end, or
+// An idle connection that has become readable was closed by the endpoint, or
 // holds bytes that belong to no request.
 bool
 IsStillOpen(EndpointConnection& aConnection)
--- a/Source/Forwarding/ConnectionPool.h
+++ b/Source/Forwarding/ConnectionPool.h
@@ -1,4 +1,4 @@
-// Idle connections to endpoints.
+// Pool of idle connections to endpoints.
 #pragma once
 
 #include <cstdint>
@@ -10,28 +10,30 @@
 
 namespace parsleycove {
 
-// Connections belong to one incarnation of an endpoint: an address is used
-// again by others.
+// A connection belongs to one incarnation of an endpoint, since another
+// endpoint may get the address later.
 class ConnectionPool
 {
 public:
-  // Null when none is idle that the endpoint still holds open.
+  // Returns nullptr if there is no idle connection that the endpoint still
+  // holds open.
   EndpointConnectionPtr TakeIdle(const Runner& aRunner, TimePoint aNow);
-  // aIdleFor: how long the endpoint leaves it open.
+  // aIdleFor is the time for which the endpoint keeps the idle connection open.
   void AddIdle(const Runner& aRunner,
                EndpointConnectionPtr aConnection,
                TimePoint aNow,
                Duration aIdleFor);
-  // A connection to it fell silent; the others may have, too.
+  // Closes all idle connections to the endpoint. Called when one connection got
+  // no answer in time, since the others may be unresponsive, too.
   void CloseIdle(const Runner& aRunner);
-  // Closes what the endpoints are about to close.
+  // Closes the connections that their endpoints are about to close.
   void CloseExpired(TimePoint aNow);
   std::size_t Count() const { return m_count; }
 
 private:
   static std::uint64_t KeyOf(const Runner& aRunner);
 
-  // Most recently used last.
+  // The most recently used connection of an endpoint is last.
   std::unordered_map<std::uint64_t, std::vector<EndpointConnectionPtr>> m_idle;
   std::size_t m_count = 0;
 };
--- a/Source/Forwarding/ControlCalls.cxx
+++ b/Source/Forwarding/ControlCalls.cxx
@@ -1,4 +1,4 @@
-// The replicated state's calls for coroutines.
+// Coroutine wrappers for the calls of ControlPort.
 #include "Forwarding/ControlCalls.h"
 
 #include <memory>
@@ -12,15 +12,15 @@
 
 namespace {
 
-// The port calls every handler by its deadline; this much later a missing call
-// is taken as an unknown outcome.
+// ControlPort calls every handler at the deadline at the latest. If the call is
+// still missing after this extra time, the outcome is unknown.
 constexpr Duration kHandlerSlack = std::chrono::seconds(2);
 
-// Starts a call of the port and waits for its handler.
+// Starts a call of ControlPort and waits for the call's handler.
 //
-// The handler may run on any thread, also after the coroutine has given up; it
-// owns the slot together with the coroutine and sets it on the context's
-// thread.
+// The handler may run on any thread, even after the coroutine has stopped
+// waiting. Handler and coroutine therefore share ownership of the slot, and the
+// slot is set on the context's thread.
 template<typename Outcome, typename Start>
 asio::awaitable<Outcome>
 AwaitHandler(asio::io_context& aContext, TimePoint aDeadline, Start aStart)
--- a/Source/Forwarding/ControlCalls.h
+++ b/Source/Forwarding/ControlCalls.h
@@ -1,4 +1,4 @@
-// The replicated state's calls for coroutines.
+// Coroutine wrappers for the calls of ControlPort.
 #pragma once
 
 #include <optional>
@@ -41,7 +41,7 @@
   ControlReason m_reason;
 };
 
-// Wraps a command's body.
+// Returns a command with the given body.
 template<typename Body>
 state::CommandT
 MakeCommand(Body aBody)
@@ -51,7 +51,7 @@
   return command;
 }
 
-// Each of these resumes on the context's thread.
+// Each of the following coroutines resumes on the thread that runs aContext.
 asio::awaitable<ProposeOutcome>
 Propose(ControlPort& aPort,
         asio::io_context& aContext,
--- a/Source/Forwarding/EndpointClient.cxx
+++ b/Source/Forwarding/EndpointClient.cxx
@@ -1,4 +1,4 @@
-// HTTP calls to endpoints over kept connections.
+// HTTP client for endpoints with persistent connections.
 #include "Forwarding/EndpointClient.h"
 
 #include <algorithm>
@@ -28,7 +28,7 @@
   return result;
 }
 
-// An idle connection that became readable was closed by the other end.
+// An idle connection that has become readable was closed by the endpoint.
 bool
 IsStillOpen(beast::tcp_stream& aConnection)
 {
--- a/Source/Forwarding/EndpointClient.h
+++ b/Source/Forwarding/EndpointClient.h
@@ -1,4 +1,4 @@
-// HTTP calls to endpoints over kept connections.
+// HTTP client for endpoints with persistent connections.
 #pragma once
 
 #include <memory>
@@ -15,19 +15,19 @@
 
 enum class ConnectionChoice
 {
-  // An idle connection where there is one.
+  // An idle connection if there is one, otherwise a new one.
   Reuse,
-  // Always a new connection: for calls that may not be repeated, whose first
+  // Always a new connection: for calls that must not be retried, whose first
   // byte must not be lost in a connection that the endpoint has closed, and
-  // for a retry after silence.
+  // for a retry after a call without an answer.
   New,
 };
 
 // Keeps idle connections per address. When a call gets no answer, the idle
-// connections to that address are dropped with it, since whatever lost track
-// of the one may have lost track of all.
+// connections to its address are closed as well, since the fault that lost the
+// state of one connection may have lost the state of all.
 //
-// Invariant: used from one thread only, the one that runs its executor.
+// Invariant: used only from the thread that runs its executor.
 class EndpointClient
 {
 public:
@@ -42,7 +42,7 @@
                                    Duration aTimeout,
                                    ConnectionChoice aChoice);
 
-  // A POST with a JSON body.
+  // Returns a POST request with a JSON body.
   static HttpRequest MakeJsonPost(const SocketAddress& aAddress,
                                   const std::string& aPath,
                                   std::string aBody);
@@ -61,7 +61,7 @@
                                        TimePoint aDeadline);
 
   asio::any_io_executor m_executor;
-  // Most recently used connection last.
+  // The most recently used connection of an address is last.
   std::unordered_map<std::string, std::vector<Connection>> m_idle;
 };
 
--- a/Source/Forwarding/EndpointConnection.h
+++ b/Source/Forwarding/EndpointConnection.h
@@ -1,4 +1,4 @@
-// One connection to an endpoint, kept from request to request.
+// A persistent connection to an endpoint.
 #pragma once
 
 #include <memory>
@@ -10,8 +10,8 @@
 
 namespace parsleycove {
 
-// Invariant: between two requests the buffer is empty and nothing is under
-// way on the socket.
+// Invariant: between two requests the buffer is empty and no operation is
+// pending on the socket.
 struct EndpointConnection
 {
   explicit EndpointConnection(const asio::any_io_executor& aExecutor)
@@ -21,7 +21,7 @@
 
   Tcp::socket m_socket;
   beast::flat_buffer m_buffer;
-  // The endpoint may close it from here on.
+  // The endpoint may close the idle connection from this time on.
   TimePoint m_idleUntil = TimePoint::max();
   bool m_wasUsed = false;
 };
--- a/Source/Forwarding/ForwardDialect.h
+++ b/Source/Forwarding/ForwardDialect.h
@@ -1,7 +1,8 @@
-// How requests and answers are marked on the wire.
+// Interface of the codec for request headers, answer headers and orders to
+// engines.
 //
-// The names of headers belong to the deployment; forwarding knows only what
-// they mean.
+// The names of headers belong to the deployment; the forwarding code uses only
+// the decoded values.
 #pragma once
 
 #include <cstdint>
@@ -18,35 +19,36 @@
 
 namespace parsleycove {
 
-// What a caller says of a request. Views point into the request's header.
+// Header fields of a caller's request. The views point into the request's
+// header.
 struct CallerHeaders
 {
   // Unique for each attempt of a caller.
   std::string_view m_attemptId;
-  // How long the caller will wait.
+  // How long the caller waits for the answer; std::nullopt if not sent.
   std::optional<Duration> m_timeout;
-  // Empty: none was sent.
+  // Empty if none was sent.
   std::string_view m_apiKey;
-  // The caller has this event and those before it.
+  // The caller has received all events of the stream up to this one.
   std::optional<std::uint64_t> m_lastEventId;
   std::uint32_t m_promptTokens = 0;
   std::uint32_t m_maxAnswerTokens = 0;
-  // The caller's guess; 0: none.
+  // The caller's estimate; 0 if none was sent.
   std::uint32_t m_expectedAnswerTokens = 0;
 };
 
-// What an endpoint is told beside the caller's own header.
+// Header fields that a forwarded request carries in addition to the caller's.
 struct ForwardHeaders
 {
   Duration m_timeLeft{};
   const Runner* m_runner = nullptr;
-  // Null: the runner serves the request alone.
+  // nullptr if the runner serves the request alone.
   const StagePath* m_path = nullptr;
-  // Empty: none.
+  // Empty if the request belongs to no client account.
   std::string_view m_account;
-  // The caller has had a part of the answer and waits for the next event.
+  // The caller has received a part of the answer and waits for the next event.
   bool m_isResumed = false;
-  // Go on after this event.
+  // The endpoint continues the stream after this event.
   std::optional<std::uint64_t> m_lastEventId;
 };
 
@@ -57,35 +59,38 @@
   std::uint32_t m_slots = 0;
 };
 
-// What an endpoint's answer says of itself.
+// Header fields of an endpoint's answer.
 struct AnswerHeaders
 {
   std::string_view m_attemptId;
-  // The body is the endpoint's own, whole work.
+  // The endpoint vouches that the body is complete and its own result.
   bool m_isSigned = false;
-  // The request has not run and never will.
+  // The endpoint has not executed the request and never will.
   bool m_isNotExecuted = false;
-  // Another endpoint has the address, or a stage does not hold its layers.
+  // Another endpoint has the address now, or a stage does not hold the layers
+  // that the path assigns to it.
   bool m_isMisdirected = false;
   std::optional<EndpointLoad> m_load;
-  // Address of the stage that failed, where it was another one.
+  // Address of the failed stage; empty unless it is another endpoint than the
+  // answering one.
   std::string_view m_faultAddress;
 };
 
-// What an engine says of its state.
+// State that an engine reports about itself.
 struct EngineState
 {
-  // Factor on its usual times; 1 is normal.
+  // Factor on the engine's usual times; 1 is normal.
   double m_slowdown = 1;
-  // The incarnation that answers; nothing where it did not say.
+  // Incarnation of the answering engine; std::nullopt if not reported.
   std::optional<std::uint64_t> m_incarnation;
 };
 
-// What the first engine of a path says to an order to take another one.
+// Answer of a path's first engine to an order to continue on another path.
 struct RerouteAnswer
 {
   bool m_isAccepted = false;
-  // Address of the engine that is not there or has no room; empty: none.
+  // Address of the engine that is missing or has no capacity left; empty if the
+  // answer names none.
   std::string m_faultAddress;
 };
 
@@ -97,28 +102,30 @@
   virtual ~ForwardDialect() = default;
 
   virtual CallerHeaders ParseCallerHeaders(const Fields& aFields) const = 0;
-  // Headers of the caller that are not passed on as they are.
+  // Returns true for a caller's header that is not forwarded unchanged.
   virtual bool IsReplacedHeader(std::string_view aName) const = 0;
-  // Appends header lines.
+  // Appends the header lines of a forwarded request to aOut.
   virtual void WriteForwardHeaders(std::string& aOut,
                                    const ForwardHeaders& aHeaders) const = 0;
   virtual AnswerHeaders ParseAnswerHeaders(unsigned aStatus,
                                            const Fields& aFields) const = 0;
-  // A header that vouches for an endpoint's status and body.
+  // Returns true for a header that vouches for an endpoint's status and body.
   virtual bool IsSignatureHeader(std::string_view aName) const = 0;
-  // Appends header lines of an answer of our own.
+  // Appends the header lines of an answer by the gateway itself to aOut.
   virtual void WriteAnswerHeaders(std::string& aOut,
                                   std::string_view aAttemptId) const = 0;
-  // A status by which an answer promises that the request never runs.
+  // Returns true for a status that guarantees that the request was not executed
+  // and never will be.
   virtual bool IsNotExecutedStatus(unsigned aStatus) const = 0;
 
-  // Path at which an engine tells its state.
+  // Returns the URL path at which an engine reports its state.
   virtual std::string_view EngineStatePath() const = 0;
+  // Returns std::nullopt if the body cannot be parsed.
   virtual std::optional<EngineState> ParseEngineState(
     std::string_view aBody) const = 0;
 
-  // The order to the first engine of aPath to run a request's further tokens
-  // on that path.
+  // Builds the order to the first engine of aPath to generate the remaining
+  // tokens of a request on that path.
   virtual HttpRequest MakeRerouteOrder(std::string_view aAttemptId,
                                        const StagePath& aPath) const = 0;
   virtual RerouteAnswer ParseRerouteAnswer(unsigned aStatus,
--- a/Source/Forwarding/ForwardGateway.cxx
+++ b/Source/Forwarding/ForwardGateway.cxx
@@ -1,4 +1,4 @@
-// The forwarding half of a VM: callers on one side, endpoints on the other.
+// The gateway of a VM that forwards requests of callers to endpoints.
 #include "Forwarding/ForwardGateway.h"
 
 #include <algorithm>
@@ -17,10 +17,11 @@
 
 namespace {
 
-// Fine enough for a pause target of 200 ms.
+// Fine enough for an event gap target of 200 ms.
 constexpr Duration kCallCheckInterval = std::chrono::milliseconds(15);
 constexpr Duration kCallerCheckInterval = std::chrono::milliseconds(250);
-// New versions come into force at the next request or this look.
+// A new version of the configuration comes into force at the next request or
+// the next maintenance run.
 constexpr Duration kMaintenanceInterval = std::chrono::milliseconds(150);
 constexpr Duration kStopMargin = std::chrono::milliseconds(400);
 
--- a/Source/Forwarding/ForwardGateway.h
+++ b/Source/Forwarding/ForwardGateway.h
@@ -1,4 +1,4 @@
-// The forwarding half of a VM: callers on one side, endpoints on the other.
+// The gateway of a VM that forwards requests of callers to endpoints.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 
 namespace parsleycove {
 
-// Everything runs on the thread of the context.
+// All work runs on the thread that runs aContext.
 class ForwardGateway
 {
 public:
@@ -30,14 +30,17 @@
   ForwardGateway(const ForwardGateway&) = delete;
   ForwardGateway& operator=(const ForwardGateway&) = delete;
 
-  // False with the reason when an address cannot be taken.
+  // Returns false and sets aReason if an address cannot be bound.
   bool Start(std::string& aReason);
   std::uint16_t Port() const;
 
-  // Not ready from now on; what is in progress goes on to its end.
+  // Makes the gateway report that it is not ready. Requests in progress
+  // continue to their end.
   void BeginStop();
+  // Returns true once the gateway drains and either no request is in progress
+  // or the stop grace is almost over.
   bool IsStopped(TimePoint aNow) const;
-  // Whether this VM can serve what the balancer sends.
+  // Returns true if this VM can serve requests from the balancer.
   bool IsReady(TimePoint aNow) const;
 
 private:
--- a/Source/Forwarding/ForwardMetrics.cxx
+++ b/Source/Forwarding/ForwardMetrics.cxx
@@ -1,4 +1,4 @@
-// Counters and latencies of forwarded requests.
+// Counters and latency histograms of forwarded requests.
 #include "Forwarding/ForwardMetrics.h"
 
 namespace parsleycove {
--- a/Source/Forwarding/ForwardMetrics.h
+++ b/Source/Forwarding/ForwardMetrics.h
@@ -1,4 +1,4 @@
-// Counters and latencies of forwarded requests.
+// Counters and latency histograms of forwarded requests.
 #pragma once
 
 #include <array>
@@ -14,11 +14,11 @@
 enum class RequestEnd
 {
   Answered,
-  // Told that it has not run, and when to come back.
+  // Answered that the request was not executed, and when to retry.
   Refused,
-  // Answered with a failure of the endpoint or of our own.
+  // Answered with a failure of the endpoint or of the gateway.
   Failed,
-  // The connection was ended within an answer.
+  // The connection was closed in the middle of an answer.
   Cut,
   CallerGone,
 };
@@ -37,22 +37,22 @@
   { RequestKind::Streaming, "streaming" },
 } };
 
-// Labels are the kind of request and its end; accounts and routes are told by
-// the decision log, since there may be thousands of them.
+// Labels are the kind of a request and its end. Client accounts and routes are
+// written to the decision log only, since there may be thousands of them.
 class ForwardMetrics
 {
 public:
   explicit ForwardMetrics(MetricRegistry& aRegistry);
 
   void Count(RequestKind aKind, RequestEnd aEnd);
-  // Until the whole answer, or a stream's first event.
+  // Records the time to the complete answer or to a stream's first event.
   void RecordFirstAnswer(RequestKind aKind, Duration aTaken);
-  // Between two events of a stream.
+  // Records the time between two events of a stream.
   void RecordEventGap(Duration aGap) { m_eventGaps.Record(aGap); }
 
   Counter& Retries() { return m_retries; }
   Counter& Resumes() { return m_resumes; }
-  // Orders to send a stream's further tokens another way.
+  // Orders to generate a stream's remaining tokens on another path.
   Counter& Reroutes() { return m_reroutes; }
   Counter& Probes() { return m_probes; }
   Counter& NewConnections() { return m_newConnections; }
--- a/Source/Forwarding/ForwardOptions.h
+++ b/Source/Forwarding/ForwardOptions.h
@@ -1,4 +1,4 @@
-// Settings of forwarding.
+// Settings of the forwarding gateway.
 #pragma once
 
 #include <cstddef>
@@ -17,11 +17,13 @@
   std::string m_zone;
   std::uint64_t m_seed = 1;
   SocketAddress m_listen;
-  // Readiness for the balancer; metrics have a port of their own.
+  // Address of the readiness check for the balancer; metrics have their own
+  // port.
   SocketAddress m_readiness;
   std::size_t m_maxConnections = 3000;
-  // After a stop begins: how long new connections may still come. The
-  // balancer asks every second and turns away after two refusals.
+  // How long new connections may still arrive after a stop begins. The balancer
+  // checks readiness every second and stops sending callers after two failed
+  // checks.
   Duration m_drainGrace = std::chrono::milliseconds(2500);
   // The process is killed this long after a stop begins.
   Duration m_stopGrace = std::chrono::seconds(8);
--- a/Source/Forwarding/ForwardServices.h
+++ b/Source/Forwarding/ForwardServices.h
@@ -1,4 +1,4 @@
-// What all forwarded requests of a process share.
+// Objects that all forwarded requests of a process share.
 #pragma once
 
 #include "Base/DrainState.h"
@@ -15,7 +15,7 @@
 
 class PathDoctor;
 
-// Used by the thread that runs the context.
+// Used only by the thread that runs m_context.
 struct ForwardServices
 {
   asio::io_context& m_context;
@@ -23,7 +23,7 @@
   const ForwardDialect& m_dialect;
   RoutingBoard& m_board;
   ConnectionPool& m_pool;
-  // Calls to endpoints, and connections of callers.
+  // Deadlines of calls to endpoints and of callers' connections.
   ActivityWatch& m_callWatch;
   ActivityWatch& m_callerWatch;
   PathDoctor& m_doctor;
--- a/Source/Forwarding/ForwardSession.cxx
+++ b/Source/Forwarding/ForwardSession.cxx
@@ -1,4 +1,4 @@
-// Serves the requests of one caller's connection, one after the other.
+// Serves the requests of one caller's connection in sequence.
 #include "Forwarding/ForwardSession.h"
 
 #include <algorithm>
@@ -24,13 +24,15 @@
 constexpr unsigned kBodyTooLarge = 413;
 constexpr unsigned kHeaderTooLarge = 431;
 constexpr Duration kDefaultTimeout = std::chrono::seconds(30);
-// An election and the first confirmation take about a second after a start.
+// After a start, an election and the first confirmation by a quorum take about
+// a second.
 constexpr Duration kMaxConfigurationWait = std::chrono::milliseconds(2500);
-// A quorum answers within a round trip or two; an election takes a second.
+// A quorum answers within one or two round trips; an election takes about a
+// second.
 constexpr Duration kMaxConfirmWait = std::chrono::milliseconds(800);
 constexpr Duration kConfigurationPollInterval = std::chrono::milliseconds(15);
 
-// Host without its port, in lower case.
+// Returns the host without its port, in lower case.
 std::string
 ReadHost(const HttpRequest& aRequest)
 {
@@ -85,11 +87,11 @@
   return DecisionEvent::RequestFailed;
 }
 
-// What the present copy says to a request.
+// Result of looking up a request in the local view of the configuration.
 enum class LookupResult
 {
   Found,
-  // The copy is too old to tell.
+  // Without a configuration lease the view may be too old to decide.
   NoLease,
   NoRoute,
   UnknownKey,
@@ -158,16 +160,17 @@
     RecordOutcome(job);
   }
 
-  // Finds route and account; answers itself and returns false where the
-  // request goes no further.
+  // Finds the route and the client account. Returns false if the request is not
+  // forwarded; the caller has then been answered.
   asio::awaitable<bool> Prepare(RequestJob& aJob)
   {
     RoutingBoard& board = m_services.m_board;
     aJob.m_headers = m_services.m_dialect.ParseCallerHeaders(aJob.Request());
     aJob.m_deadline =
       aJob.m_arrival + aJob.m_headers.m_timeout.value_or(kDefaultTimeout);
-    // What is taken so late would be cut off at the end of the grace, and with
-    // it the VM would stay longer than the balancer sends callers to it.
+    // A request accepted while the gateway drains would be cut off at the end
+    // of the stop grace, and would keep the VM up longer than the balancer
+    // sends callers to it.
     if (m_services.m_drain.Phase(aJob.m_arrival) == DrainPhase::Draining) {
       co_await Refuse(aJob, RefusalCause::Stopping);
       co_return false;
@@ -204,9 +207,10 @@
     co_return true;
   }
 
-  // Pattern: all VMs start again at once, or the group elects a leader. The
-  // copy comes within about a second; a caller who is sent away instead comes
-  // back too early, or not at all.
+  // Waits until this VM has a configuration and a lease. Load pattern: all VMs
+  // restart at once, or the control group elects a leader. The configuration
+  // arrives within about a second; a caller that is refused instead retries too
+  // early or not at all.
   asio::awaitable<void> WaitForConfiguration(RequestJob& aJob)
   {
     RoutingBoard& board = m_services.m_board;
@@ -217,7 +221,8 @@
       const TimePoint now = BootClock::now();
       board.Refresh(now);
       const bool isReady = board.Config() != nullptr && board.HasLease(now);
-      // A VM that has been cut off for longer will be so for some time.
+      // A VM that has had no lease for longer is likely to stay without one for
+      // some time.
       const TimePoint until =
         std::min(waitLimit, board.LeaseLostAt() + kMaxConfigurationWait);
       if (isReady || now >= until || aJob.m_caller->IsDisconnected()) {
@@ -228,7 +233,7 @@
     }
   }
 
-  // Looks the request up in the present copy.
+  // Looks up the request's route and account in the local view.
   LookupResult LookUpRequest(RequestJob& aJob)
   {
     RoutingBoard& board = m_services.m_board;
@@ -245,7 +250,7 @@
     }
     const std::string_view key = aJob.m_headers.m_apiKey;
     const bool mayBeAnonymous = aJob.m_route->m_allowsAnonymous;
-    // A key may have been taken away since the last confirmation.
+    // The key may have been removed since a quorum last confirmed the view.
     if (!hasLease && !mayBeAnonymous) {
       return LookupResult::NoLease;
     }
@@ -257,10 +262,11 @@
              : LookupResult::UnknownKey;
   }
 
-  // Pattern: a VM whose feed has just broken goes on by its lease, and a
-  // version that was accepted meanwhile adds a route or a key. The lease says
-  // that nothing was taken away long ago; what is not there needs a quorum's
-  // word.
+  // Waits until a quorum confirms that the local view is current; returns false
+  // if none does in time. Fault pattern: the feed of a VM breaks, the VM keeps
+  // serving under its lease, and a version accepted meanwhile adds a route or a
+  // key. The lease guarantees that no removal was missed for long, but only a
+  // quorum can confirm that a route or a key does not exist.
   asio::awaitable<bool> ConfirmLocalView(RequestJob& aJob)
   {
     const TimePoint deadline =
@@ -279,7 +285,7 @@
     if (kind != RequestKind::Streaming && aJob.m_end == RequestEnd::Answered) {
       m_services.m_metrics.RecordFirstAnswer(kind, aJob.m_firstAfter);
     }
-    // A refusal has had its line, with what decided it.
+    // Refuse() has already logged the refusal with its cause.
     if (aJob.m_end == RequestEnd::Refused) {
       return;
     }
--- a/Source/Forwarding/ForwardSession.h
+++ b/Source/Forwarding/ForwardSession.h
@@ -1,4 +1,4 @@
-// Serves the requests of one caller's connection, one after the other.
+// Serves the requests of one caller's connection in sequence.
 #pragma once
 
 #include "Forwarding/CallerConnection.h"
--- a/Source/Forwarding/HttpService.h
+++ b/Source/Forwarding/HttpService.h
@@ -17,11 +17,12 @@
 {
   std::size_t m_maxBodyBytes = 8ULL * 1024 * 1024;
   std::size_t m_maxConnections = 2000;
-  // Without a whole request for this long a connection is closed.
+  // A connection on which no complete request arrives within this time is
+  // closed.
   std::chrono::seconds m_idleTimeout{ 30 };
 };
 
-// Answers whole requests by a handler, on the thread of the context.
+// Passes complete requests to a handler on the thread that runs aContext.
 class HttpService
 {
 public:
@@ -32,7 +33,7 @@
   HttpService(const HttpService&) = delete;
   HttpService& operator=(const HttpService&) = delete;
 
-  // False with the reason when the address cannot be taken.
+  // Returns false and sets aReason if the address cannot be bound.
   bool Open(const SocketAddress& aListen, std::string& aReason);
   std::uint16_t Port() const;
   void Close();
@@ -43,7 +44,7 @@
   std::shared_ptr<Parts> m_parts;
 };
 
-// An answer with a text and no more.
+// Returns an answer that has only a content type and a text body.
 HttpResponse
 MakeTextAnswer(http::status aStatus,
                std::string aText,
--- a/Source/Forwarding/PlainForwarder.cxx
+++ b/Source/Forwarding/PlainForwarder.cxx
@@ -1,4 +1,4 @@
-// Forwards a request whose answer is one whole body.
+// Forwards requests that are answered with one complete body.
 #include "Forwarding/PlainForwarder.h"
 
 #include <algorithm>
@@ -10,23 +10,24 @@
 
 constexpr Duration kWriteTimeout = std::chrono::seconds(5);
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(250);
-// A safe call that takes this many times the usual is given to another one.
+// A safe request is sent to another endpoint when its answer takes longer than
+// this multiple of the service's average latency.
 constexpr int kRetryTimeoutFactor = 5;
 constexpr Duration kMinRetryTimeout = std::chrono::milliseconds(45);
 constexpr std::size_t kMaxConnectFailures = 3;
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kGatewayTimeout = 504;
 constexpr unsigned kFirstServerError = 500;
-// A new sample weighs this part in the usual time.
+// Divisor of a new sample's weight in the moving average of the latency.
 constexpr int kLatencyAverageWeight = 8;
 
 enum class ForwardOutcome
 {
-  // The caller has its answer, or is gone.
+  // The caller has its answer or has disconnected.
   Finished,
-  // Never ran: any request may go elsewhere.
+  // Not executed: a request of any kind may be sent to another endpoint.
   NotExecuted,
-  // May have run.
+  // The endpoint may have executed the request.
   Failed,
 };
 
@@ -101,7 +102,8 @@
     const bool countAllows =
       m_connectFailures < kMaxConnectFailures &&
       m_possibleExecutions < m_job.m_route->m_maxAttempts;
-    // Where no byte has left, the first sending is still to come.
+    // As long as no byte was sent, the next call is not a retry and costs no
+    // retry budget.
     const bool isRetry = m_job.m_attempts > 0;
     return kindAllows && countAllows && !m_job.m_caller->IsDisconnected() &&
            (!isRetry || m_desk.m_retries.Spend(BootClock::now(),
@@ -132,7 +134,7 @@
     call->Release(now);
     if (outcome == ForwardOutcome::Finished &&
         m_job.m_end == RequestEnd::Answered) {
-      UpdateCircuit(*aRunner, "it answered a request", [&](TimePoint aNow) {
+      UpdateCircuit(*aRunner, "answered a request", [&](TimePoint aNow) {
         aRunner->m_load->Clear(aNow);
       });
       m_desk.m_usual +=
@@ -183,7 +185,8 @@
     co_return ForwardOutcome::Finished;
   }
 
-  // Reads a whole answer, passing over answers to other requests.
+  // Reads the complete answer to this request and skips answers to other
+  // requests. Returns false if the call ended before the answer was complete.
   asio::awaitable<bool> ReadMatchingAnswer(ForwardCall& aCall,
                                            std::string& aBody)
   {
@@ -194,7 +197,8 @@
         co_return false;
       }
       while (co_await aCall.ReadBody(aBody)) {
-        // Whether the answer is whole must be known before its length is told.
+        // The whole body is buffered, since the answer must be complete before
+        // its length is sent to the caller.
         if (aBody.size() > m_job.m_config->Limits().m_maxBodyBytes) {
           aCall.Abort(CallEnd::Broken);
         }
@@ -229,7 +233,8 @@
     const ForwardCall::Header& answer = aCall.Answer();
     unsigned status = answer.result_int();
     const bool isSuccess = status < kFirstClientError;
-    // The endpoint may have run it: no promise may be passed on.
+    // The endpoint may have executed the request, so a status that guarantees
+    // the opposite must not reach the caller.
     if (m_services.m_dialect.IsNotExecutedStatus(status) ||
         (isSuccess && !aHeaders.m_isSigned)) {
       status = kBadGateway;
@@ -241,9 +246,9 @@
     if (status == kBadGateway && status != answer.result_int()) {
       m_job.m_why = "the endpoint's status " +
                     std::to_string(answer.result_int()) +
-                    " cannot be passed on";
+                    " cannot be passed on to the caller";
     } else if (m_job.m_end == RequestEnd::Failed) {
-      m_job.m_why = "the endpoint answered so";
+      m_job.m_why = "the endpoint answered with this status";
     }
     std::string out = MakeAnswerHeader(
       m_job, status, answer, static_cast<std::int64_t>(aBody.size()));
@@ -291,7 +296,8 @@
     });
   }
 
-  // Tells the log when aChange opens or closes the endpoint's circuit.
+  // Applies aChange to the endpoint's load record. Writes a log line if the
+  // change opens or closes the endpoint's circuit breaker.
   template<typename Change>
   void UpdateCircuit(const Runner& aRunner,
                      std::string_view aWhy,
@@ -313,7 +319,8 @@
                            });
   }
 
-  // The promise of a refusal is given only if nothing can have run.
+  // A refusal guarantees that the request was not executed, so it is sent only
+  // if no endpoint can have executed the request.
   asio::awaitable<void> EndWithoutAnswer(RefusalCause aCause)
   {
     if (m_job.m_caller->IsDisconnected()) {
@@ -336,7 +343,8 @@
   RequestJob& m_job;
   ForwardServices& m_services;
   ServiceDesk& m_desk;
-  // Sendings that no endpoint has shown to be without effect.
+  // Calls sent to endpoints, without those that an endpoint reported as not
+  // executed.
   std::uint32_t m_possibleExecutions = 0;
   std::size_t m_connectFailures = 0;
   CallEnd m_lastEnd = CallEnd::None;
--- a/Source/Forwarding/PlainForwarder.h
+++ b/Source/Forwarding/PlainForwarder.h
@@ -1,12 +1,13 @@
-// Forwards a request whose answer is one whole body.
+// Forwards requests that are answered with one complete body.
 #pragma once
 
 #include "Forwarding/RequestJob.h"
 
 namespace parsleycove {
 
-// Safe requests are given to another endpoint after any failure, unsafe ones
-// only where the first one said that it did not run them.
+// Forwards a request and writes the answer to the caller. Retries a safe
+// request on another endpoint after any failure, an unsafe request only if it
+// was not executed: no connection was made, or the endpoint said so.
 asio::awaitable<void>
 ForwardPlain(RequestJob& aJob);
 
--- a/Tests/Forwarding/ForwardFixture.cxx
+++ b/Tests/Forwarding/ForwardFixture.cxx
@@ -1,4 +1,4 @@
-// A forwarding gateway with stub endpoints and a caller, on one thread.
+// Runs a forwarding gateway, stub endpoints and callers on one thread.
 #include "Forwarding/ForwardFixture.h"
 
 #include <boost/asio/write.hpp>
--- a/Tests/Forwarding/ForwardFixture.h
+++ b/Tests/Forwarding/ForwardFixture.h
@@ -1,4 +1,4 @@
-// A forwarding gateway with stub endpoints and a caller, on one thread.
+// Runs a forwarding gateway, stub endpoints and callers on one thread.
 #pragma once
 
 #include <deque>
@@ -26,20 +26,22 @@
   ForwardFixture();
   ~ForwardFixture();
 
-  // Routes: /safe/, /unsafe/ to the plain service; /stream/ (resumable) and
-  // /once/ (not resumable) to the model. Key k1 belongs to account-1.
-  // aAccounts, if given, stands for that account.
+  // Applies a configuration. Its routes /safe/ and /unsafe/ lead to the plain
+  // service, /stream/ (resumable) and /once/ (not resumable) to the model. The
+  // key k1 belongs to account-1; aAccounts, if not empty, replaces this
+  // account.
   void PutConfig(std::uint64_t aVersion = 1, const std::string& aAccounts = {});
   StubEndpoint& AddPlainEndpoint();
-  // Holds layers [aFirst, aEnd) of 4.
+  // Adds an engine that holds layers [aFirst, aEnd) of 4.
   StubEndpoint& AddEngine(std::uint32_t aFirst, std::uint32_t aEnd);
-  // Another VM reports the endpoint dead; it announces itself again.
+  // Applies the report of another VM that the endpoint has failed.
   void ReportSuspected(const StubEndpoint& aEndpoint);
+  // Announces the endpoint again, which withdraws the report.
   void AnnounceAgain(const StubEndpoint& aEndpoint);
   std::string IdOf(const StubEndpoint& aEndpoint) const;
   void Start();
 
-  // A connection of a caller.
+  // A caller's connection to the gateway.
   class Caller
   {
   public:
@@ -59,15 +61,17 @@
   };
 
   std::unique_ptr<Caller> Connect();
-  // Sends one request on a new connection and runs until it is answered.
+  // Sends one request on a new connection and runs until the gateway closes the
+  // connection. Returns all bytes received.
   std::string SendRequest(const std::string& aMethod,
                           const std::string& aPath,
                           const std::string& aExtraHeaders = {},
                           const std::string& aBody = {});
-  // Runs until the condition holds; false at a deadline that only a failing
-  // test reaches.
+  // Runs until the condition holds. Returns false at a deadline that only a
+  // failing test reaches.
   bool RunUntil(const std::function<bool()>& aCondition);
-  // Value of a metric without labels; -1: it is not on the page.
+  // Returns the value of a metric without labels, or -1 if the metrics page
+  // does not contain the metric.
   int MetricOf(const std::string& aName) const;
 
   boost::asio::io_context m_context;
@@ -86,29 +90,29 @@
   std::deque<StubEndpoint> m_endpoints;
 };
 
-// A request as a caller writes it.
+// Returns a request as a caller sends it.
 std::string
 MakeRequest(const std::string& aMethod,
             const std::string& aPath,
             const std::string& aExtraHeaders = {},
             const std::string& aBody = {});
 
-// Status of an answer.
+// Returns the HTTP status of an answer.
 int
 StatusOf(const std::string& aAnswer);
 
-// Numbers of the events in an answer, in order.
+// Returns the ids of the events in an answer, in order.
 std::vector<int>
 EventsOf(const std::string& aAnswer);
 
-// The answer's chunked body has its last chunk.
+// Returns true if the answer ends with the last chunk of a chunked body.
 bool
 IsComplete(const std::string& aAnswer);
 
 inline constexpr std::string_view kOrderTarget = "/parsleycove/order";
 
-// A script that answers reports of an engine's state, refuses orders, and
-// answers others by aScript.
+// Returns a script that answers queries of the engine's state, refuses orders,
+// and answers all other requests by aScript.
 StubEndpoint::Script
 WithEngineState(StubEndpoint::Script aScript);
 
--- a/Tests/Forwarding/PlainForwardTest.cxx
+++ b/Tests/Forwarding/PlainForwardTest.cxx
@@ -1,7 +1,9 @@
-// Tests of requests whose answer is one whole body, over real connections.
+// Tests of requests that are answered with one complete body, over real
+// connections. They guard against requests that are executed twice, answers
+// that reach the wrong caller, and truncated answers that look complete.
 #include "Forwarding/ForwardFixture.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since its leak detection macros redefine new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
@@ -36,7 +38,7 @@
 
   void teardown() override { m_fixture.reset(); }
 
-  // Both endpoints do the same.
+  // Starts the gateway with two endpoints that run the same script.
   void StartTwo(const StubEndpoint::Script& aScript)
   {
     m_fixture->PutConfig();
@@ -260,8 +262,9 @@
   CHECK_EQUAL(0U, RequestCount());
 }
 
-// Load pattern: the VM's feed broke just before a version was accepted. Its
-// lease still runs, but its copy cannot tell what is not there.
+// Load pattern: the feed of this VM broke just before a version of the
+// configuration was accepted. The VM still has its lease, but its view does not
+// show whether a missing key was added meanwhile.
 TEST(PlainForward, AnOlderCopyDeniesNoKeyThatWasAdded)
 {
   StartTwo(AnswerOk);
--- a/Tests/Forwarding/StubEndpoint.cxx
+++ b/Tests/Forwarding/StubEndpoint.cxx
@@ -1,4 +1,5 @@
-// An endpoint on loopback that answers every request by a script.
+// A test endpoint on the loopback interface that answers every request by a
+// script.
 #include "Forwarding/StubEndpoint.h"
 
 #include <utility>
--- a/Tests/Forwarding/StubEndpoint.h
+++ b/Tests/Forwarding/StubEndpoint.h
@@ -1,4 +1,5 @@
-// An endpoint on loopback that answers every request by a script.
+// A test endpoint on the loopback interface that answers every request by a
+// script.
 #pragma once
 
 #include <functional>
@@ -13,18 +14,18 @@
 
 namespace parsleycove {
 
-// What an endpoint does with one request, in order.
+// One step of the script by which an endpoint answers a request.
 struct StubStep
 {
   enum class Kind
   {
     Send,
     Pause,
-    // Until a condition holds.
+    // Waits until a condition holds.
     Await,
     // Closes the connection.
     Close,
-    // Says nothing more and keeps the connection.
+    // Sends nothing more and keeps the connection open.
     Hang,
   };
 
@@ -45,22 +46,22 @@
 StubStep
 Hang();
 
-// A whole answer with a signature.
+// Returns a complete answer with a signature.
 std::string
 MakeAnswer(const std::string& aAttemptId,
            unsigned aStatus,
            const std::string& aBody,
            const std::string& aExtraHeaders = {});
-// Head of a stream of events.
+// Returns the status line and header of an event stream.
 std::string
 MakeStreamHead(const std::string& aAttemptId);
-// One event as a chunk.
+// Returns one event as a chunk.
 std::string
 MakeEvent(int aId);
 std::string
 MakeStreamEnd();
 
-// Invariant: runs on the thread of its context.
+// Invariant: runs on the thread that runs its context.
 class StubEndpoint
 {
 public:
@@ -73,11 +74,12 @@
 
   std::uint16_t Port() const;
   void SetScript(Script aScript);
-  // Refuses connections from now on and ends those that are open.
+  // Refuses new connections from now on and closes the open ones.
   void Stop();
-  // All requests so far.
+  // Returns all requests received so far.
   const std::vector<HttpRequest>& Requests() const;
-  // Connections that the other side has closed within an answer.
+  // Returns the number of connections that the peer closed in the middle of
+  // an answer.
   int Abandoned() const;
   int Connections() const;
 
