--- a/Source/Forwarding/ForwardCall.cxx
+++ b/Source/Forwarding/ForwardCall.cxx
@@ -63,7 +63,7 @@
 ForwardCall::TakePath(StagePathPtr aPath)
 {
   m_path = std::move(aPath);
-  m_hold = PathHold(m_path, m_subject.m_tokens);
+  m_hold = PathReservation(m_path, m_subject.m_tokens);
   // The new engines read first; the silence so far was the old ones'.
   const bool hasProgress = HasProgress();
   m_progressAt = BootClock::now();
@@ -177,7 +177,7 @@
     constexpr int kWeight = 4;
     m_usualGap += (now - m_progressAt - m_usualGap) / kWeight;
     if (m_path) {
-      m_runner->m_load->NoteEventGap(now, now - m_progressAt);
+      m_runner->m_load->RecordEventGap(now, now - m_progressAt);
     }
   }
   m_progressAt = now;
--- a/Source/Forwarding/ForwardCall.h
+++ b/Source/Forwarding/ForwardCall.h
@@ -13,7 +13,7 @@
 #include "Forwarding/ActivityWatch.h"
 #include "Forwarding/ConnectionPool.h"
 #include "Forwarding/EndpointConnection.h"
-#include "Routing/PathBook.h"
+#include "Routing/PathSelector.h"
 
 namespace parsleycove {
 
@@ -130,7 +130,7 @@
   const CallSubject m_subject;
   // Null for plain calls.
   StagePathPtr m_path;
-  PathHold m_hold;
+  PathReservation m_hold;
   bool m_isRerouting = false;
   bool m_mayReroute = true;
   // Null once it went back to the pool.
--- a/Source/Forwarding/ForwardDialect.h
+++ b/Source/Forwarding/ForwardDialect.h
@@ -13,7 +13,7 @@
 #include <boost/beast/http/fields.hpp>
 
 #include "Base/Clock.h"
-#include "Routing/PathBook.h"
+#include "Routing/PathSelector.h"
 #include "Routing/Runner.h"
 #include "Wire/Http.h"
 
--- a/Source/Forwarding/PathDoctor.cxx
+++ b/Source/Forwarding/PathDoctor.cxx
@@ -171,7 +171,7 @@
   for (const RunnerPtr& runner : table->Runners()) {
     const bool isOpen = runner->m_kind == state::EndpointKind::ManagedEngine &&
                         runner->m_phase == state::EndpointPhase::Ready &&
-                        runner->m_load->Circuit(aNow) == CircuitState::Ok;
+                        runner->m_load->Circuit(aNow) == CircuitState::Closed;
     if (!runner->m_isSuspected || !isOpen) {
       continue;
     }
@@ -249,7 +249,7 @@
     if (patient.m_isBelieved && !isListedDead) {
       // It has announced itself since.
       patient.m_isBelieved = false;
-      if (circuit != CircuitState::Ok) {
+      if (circuit != CircuitState::Closed) {
         Ask(aNow, patient.m_runner, Duration::zero());
       }
     } else if (circuit == CircuitState::HalfOpen && isListedDead &&
@@ -348,10 +348,10 @@
   const bool paceChanged =
     (patient.m_pace > kSlowPace) != (aState.m_slowdown > kSlowPace);
   patient.m_pace = aState.m_slowdown;
-  const bool wasOk = aRunner->m_load->Circuit(now) == CircuitState::Ok;
-  aRunner->m_load->Clear(now);
+  const bool wasOk = aRunner->m_load->Circuit(now) == CircuitState::Closed;
+  aRunner->m_load->CloseCircuit(now);
   if (aState.m_slowdown > kSlowPace || paceChanged) {
-    aRunner->m_load->NotePace(now, aState.m_slowdown);
+    aRunner->m_load->RecordSlowdown(now, aState.m_slowdown);
   }
   if (aState.m_slowdown > kLeavePace) {
     for (const auto& weak : m_streams) {
--- a/Source/Forwarding/PlainForwarder.cxx
+++ b/Source/Forwarding/PlainForwarder.cxx
@@ -98,7 +98,7 @@
   bool MayRetry(ForwardOutcome aOutcome)
   {
     const bool kindAllows =
-      aOutcome == ForwardOutcome::NotExecuted || m_job.m_route->MayRepeat();
+      aOutcome == ForwardOutcome::NotExecuted || m_job.m_route->CanRetry();
     const bool countAllows =
       m_connectFailures < kMaxConnectFailures &&
       m_possibleExecutions < m_job.m_route->m_maxAttempts;
@@ -135,7 +135,7 @@
     if (outcome == ForwardOutcome::Finished &&
         m_job.m_end == RequestEnd::Answered) {
       UpdateCircuit(*aRunner, "answered a request", [&](TimePoint aNow) {
-        aRunner->m_load->Clear(aNow);
+        aRunner->m_load->CloseCircuit(aNow);
       });
       m_desk.m_usual +=
         (now - startedAt - m_desk.m_usual) / kLatencyAverageWeight;
@@ -145,7 +145,7 @@
 
   TimePoint ChooseDeadline(const RunnerPtr& aRunner)
   {
-    const bool mayRetry = m_job.m_route->MayRepeat() &&
+    const bool mayRetry = m_job.m_route->CanRetry() &&
                           m_possibleExecutions < m_job.m_route->m_maxAttempts &&
                           HasAlternative(aRunner);
     if (!mayRetry) {
@@ -176,8 +176,8 @@
     if (isFailure && m_job.m_route->m_kind == RequestKind::Safe &&
         m_possibleExecutions < m_job.m_route->m_maxAttempts &&
         HasAlternative(aCall.Target()) &&
-        m_desk.m_retries.Left(BootClock::now(),
-                              m_services.m_board.Gateways()) >= 1) {
+        m_desk.m_retries.Remaining(BootClock::now(),
+                                   m_services.m_board.Gateways()) >= 1) {
       m_job.m_lastFault = "endpoint_failed";
       co_return ForwardOutcome::Failed;
     }
@@ -271,7 +271,7 @@
     m_job.m_lastFault = NameOfEnd(end);
     if (end == CallEnd::Overdue) {
       UpdateCircuit(*aCall.Target(), NameOfEnd(end), [&](TimePoint aNow) {
-        aCall.Target()->m_load->RecordSilence(aNow, aCall.SentAt());
+        aCall.Target()->m_load->RecordTimeout(aNow, aCall.SentAt());
       });
       m_services.m_pool.CloseIdle(*aCall.Target());
     } else {
@@ -304,9 +304,9 @@
                      Change aChange)
   {
     const TimePoint now = BootClock::now();
-    const bool wasOk = aRunner.m_load->Circuit(now) == CircuitState::Ok;
+    const bool wasOk = aRunner.m_load->Circuit(now) == CircuitState::Closed;
     aChange(now);
-    const bool isOk = aRunner.m_load->Circuit(now) == CircuitState::Ok;
+    const bool isOk = aRunner.m_load->Circuit(now) == CircuitState::Closed;
     if (isOk == wasOk) {
       return;
     }
--- a/Source/Forwarding/RequestJob.cxx
+++ b/Source/Forwarding/RequestJob.cxx
@@ -247,9 +247,11 @@
         aLine.Add("detail", aJob.m_detail);
       }
       if (aCause == RefusalCause::PathsFull) {
-        const PathFill& fill = aJob.m_fill;
-        aLine.Add("fill_percent", static_cast<std::int64_t>(fill.m_part * 100))
-          .Add("tightest", fill.m_tightest ? fill.m_tightest->m_id : "slots")
+        const PathUtilization& fill = aJob.m_fill;
+        aLine
+          .Add("fill_percent", static_cast<std::int64_t>(fill.m_fraction * 100))
+          .Add("tightest",
+               fill.m_bottleneck ? fill.m_bottleneck->m_id : "slots")
           .Add("streams", static_cast<std::int64_t>(fill.m_streams));
       }
       aLine.AddMs("after_ms", BootClock::now() - aJob.m_arrival)
--- a/Source/Forwarding/RequestJob.h
+++ b/Source/Forwarding/RequestJob.h
@@ -60,7 +60,7 @@
   StagePathPtr m_path;
   std::vector<std::string> m_excluded;
   // Of the last path that was looked at.
-  PathFill m_fill;
+  PathUtilization m_fill;
   // Prompt and expected answer of a stream; 0 for plain requests.
   std::uint32_t m_expectedTokens = 0;
   // The call under way, to be ended when the caller leaves.
--- a/Source/Forwarding/RoutingBoard.h
+++ b/Source/Forwarding/RoutingBoard.h
@@ -9,7 +9,7 @@
 
 #include "Base/Clock.h"
 #include "Forwarding/ForwardOptions.h"
-#include "Routing/PathBook.h"
+#include "Routing/PathSelector.h"
 #include "Routing/RoutingConfig.h"
 #include "Routing/RunnerTable.h"
 #include "Routing/ServicePicker.h"
@@ -30,7 +30,7 @@
   {
   }
 
-  PathBook m_paths;
+  PathSelector m_paths;
   WindowedBudget m_retries;
   // Moving average of good answers of plain calls.
   Duration m_usual = std::chrono::milliseconds(20);
--- a/Source/Forwarding/StreamForwarder.cxx
+++ b/Source/Forwarding/StreamForwarder.cxx
@@ -86,7 +86,7 @@
   request.m_tokens = m_job.m_expectedTokens;
   request.m_promptTokens = m_job.m_headers.m_promptTokens;
   request.m_gapTarget = m_job.m_route->m_gapTarget;
-  request.m_resumeSeed = m_hasBegun ? HashId(m_job.m_headers.m_attemptId) : 0;
+  request.m_restartSeed = m_hasBegun ? HashId(m_job.m_headers.m_attemptId) : 0;
   request.m_gateways = m_services.m_board.Gateways();
   request.m_excluded = m_job.m_excluded;
   const TimePoint now = BootClock::now();
--- a/Source/Forwarding/StreamRerouter.cxx
+++ b/Source/Forwarding/StreamRerouter.cxx
@@ -119,10 +119,10 @@
 
 StagePathPtr
 StreamRerouter::FindPath(const ForwardCall& aStream,
-                         const RepairRequest& aRequest)
+                         const RerouteRequest& aRequest)
 {
   return m_board->DeskOf(aStream.Target()->m_service)
-    .m_paths.Repair(BootClock::now(), *aStream.Path(), aRequest);
+    .m_paths.Reroute(BootClock::now(), *aStream.Path(), aRequest);
 }
 
 asio::awaitable<void>
@@ -166,7 +166,7 @@
   const TimePoint now = BootClock::now();
   const bool hasLost =
     std::any_of(stages.begin(), stages.end(), [now](const PathStage& aStage) {
-      return aStage.m_runner->m_load->Circuit(now) != CircuitState::Ok;
+      return aStage.m_runner->m_load->Circuit(now) != CircuitState::Closed;
     });
   if (hasLost) {
     Restart(stream);
@@ -204,13 +204,14 @@
 StreamRerouter::PrefersRestart(const Move& aMove) const
 {
   const ForwardCall& stream = *aMove.m_stream;
-  const RepairLoad load = m_board->DeskOf(stream.Target()->m_service)
-                            .m_paths.WeighRepair(BootClock::now(),
-                                                 *stream.Path(),
-                                                 *aMove.m_path,
-                                                 stream.ExpectedTokens());
+  const RerouteLoad load =
+    m_board->DeskOf(stream.Target()->m_service)
+      .m_paths.EstimateRerouteLoad(BootClock::now(),
+                                   *stream.Path(),
+                                   *aMove.m_path,
+                                   stream.ExpectedTokens());
   Random draw(aMove.m_request.m_seed);
-  return draw.Fraction() > ShareToLeadRound(load);
+  return draw.Fraction() > ComputeRerouteShare(load);
 }
 
 bool
--- a/Source/Forwarding/StreamRerouter.h
+++ b/Source/Forwarding/StreamRerouter.h
@@ -7,7 +7,7 @@
 // budget is not touched.
 //
 // Where one engine would have to read for too many of them, a part of them
-// begins anew all the same (RepairShare).
+// begins anew all the same (RerouteShare).
 //
 // That pays within the zone only. To read the tokens so far, an engine in
 // another zone needs 16 MB for each stream over a pipe that all streams share;
@@ -50,7 +50,7 @@
   {
     ForwardCallPtr m_stream;
     StagePathPtr m_path;
-    RepairRequest m_request;
+    RerouteRequest m_request;
     TimePoint m_since;
 
     // It leaves the zone no more often than before.
@@ -65,7 +65,7 @@
 
   Move MakeMove(const ForwardCallPtr& aStream) const;
   StagePathPtr FindPath(const ForwardCall& aStream,
-                        const RepairRequest& aRequest);
+                        const RerouteRequest& aRequest);
   void Enqueue(Move aMove);
   // Gives the orders of one lane, one after the other.
   asio::awaitable<void> Work(std::string aFirst);
--- a/Source/Forwarding/StreamRun.cxx
+++ b/Source/Forwarding/StreamRun.cxx
@@ -133,7 +133,7 @@
     faulty = aCall.Target();
   }
   const bool isElsewhere = aHeaders.m_isMisdirected;
-  faulty->m_load->Shun(now, isElsewhere ? kMovedShun : kFullShun);
+  faulty->m_load->EjectFor(now, isElsewhere ? kMovedShun : kFullShun);
   m_desk.m_paths.Invalidate();
   m_services.m_doctor.Doubt(now, faulty);
   m_job.m_excluded.push_back(faulty->m_id);
@@ -239,7 +239,7 @@
 StreamForwarder::NoteProgress(const ForwardCall& aCall)
 {
   for (const PathStage& stage : aCall.Path()->m_stages) {
-    stage.m_runner->m_load->NoteAnswer(aCall.ProgressAt());
+    stage.m_runner->m_load->RecordAnswer(aCall.ProgressAt());
   }
 }
 
