--- a/Source/Forwarding/AcceptLoop.h
+++ b/Source/Forwarding/AcceptLoop.h
@@ -1,4 +1,4 @@
-// Takes connections on one address and runs a coroutine for each.
+// Accepts connections on one address and runs a coroutine for each.
 #pragma once
 
 #include <functional>
@@ -10,21 +10,21 @@
 
 namespace parsleycove {
 
-// Connections beyond the limit are closed at once, so that their callers turn
-// to another VM.
+// Connections beyond the limit are closed at once, so that their callers
+// connect to another VM.
 class AcceptLoop
 {
 public:
-  using Serve = std::function<asio::awaitable<void>(Tcp::socket)>;
+  using ConnectionHandler = std::function<asio::awaitable<void>(Tcp::socket)>;
 
   AcceptLoop(asio::io_context& aContext, std::size_t aMaxConnections);
   ~AcceptLoop();
   AcceptLoop(const AcceptLoop&) = delete;
   AcceptLoop& operator=(const AcceptLoop&) = delete;
 
-  // False with the reason when the address cannot be taken.
+  // Returns false and sets aReason if the address cannot be bound.
   bool Open(const SocketAddress& aListen, std::string& aReason);
-  void Start(Serve aServe);
+  void Start(ConnectionHandler aHandler);
   void Close();
   std::uint16_t Port() const;
 
--- /dev/null
+++ b/Source/Forwarding/CallerConnection.h
@@ -0,0 +1,80 @@
+// A caller's connection: reads complete requests and writes answers.
+#pragma once
+
+#include <functional>
+#include <memory>
+#include <string>
+#include <string_view>
+
+#include <boost/beast/core/flat_buffer.hpp>
+#include <boost/beast/http/parser.hpp>
+
+#include "Base/Clock.h"
+#include "Forwarding/ActivityWatch.h"
+#include "Routing/RoutingConfig.h"
+#include "Wire/Http.h"
+
+namespace parsleycove {
+
+enum class ReadResult
+{
+  Request,
+  // The caller closed or reset the connection, or stayed idle too long.
+  Closed,
+  HeaderTooLarge,
+  BodyTooLarge,
+  TimedOut,
+  Malformed,
+};
+
+// Invariant: at most one operation at a time, apart from the watch for a
+// disconnect.
+class CallerConnection final
+  : public Watched
+  , public std::enable_shared_from_this<CallerConnection>
+{
+public:
+  explicit CallerConnection(Tcp::socket aSocket);
+
+  asio::awaitable<ReadResult> ReadRequest(const CallerLimits& aLimits);
+  const HttpRequest& Request() const { return m_request; }
+  // Returns true while only a part of a request has been received.
+  bool IsReading() const { return m_isReading; }
+
+  // Returns false if the caller has disconnected or the bytes could not be
+  // written within aTimeout.
+  asio::awaitable<bool> Write(std::string aBytes, Duration aTimeout);
+
+  // Calls aOnDisconnect once if the caller closes the connection while its
+  // request is served.
+  void WatchForDisconnect(std::function<void()> aOnDisconnect);
+  void StopWatching();
+  bool IsDisconnected() const { return m_isDisconnected; }
+
+  void CloseAfterAnswer() { m_closesAfterAnswer = true; }
+  bool ClosesAfterAnswer() const { return m_closesAfterAnswer; }
+  void Close();
+  // Closes the connection without an answer if no request has begun on it.
+  void CloseIfIdle();
+
+  void OnOverdue(TimePoint aNow) override;
+
+private:
+  ReadResult ClassifyReadError(const beast::error_code& aError) const;
+  void ArmDisconnectWatch();
+
+  Tcp::socket m_socket;
+  beast::flat_buffer m_buffer;
+  HttpRequest m_request;
+  std::function<void()> m_onDisconnect;
+  std::uint64_t m_watchGeneration = 0;
+  bool m_isReading = false;
+  bool m_isIdle = true;
+  bool m_isOverdue = false;
+  bool m_isDisconnected = false;
+  bool m_closesAfterAnswer = false;
+};
+
+using CallerConnectionPtr = std::shared_ptr<CallerConnection>;
+
+} // namespace parsleycove
--- a/Source/Forwarding/ConnectionPool.cxx
+++ b/Source/Forwarding/ConnectionPool.cxx
@@ -1,4 +1,4 @@
-// Idle connections to endpoints.
+// Pool of idle connections to endpoints.
 #include "Forwarding/ConnectionPool.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kMaxIdlePerEndpoint = 64;
 
-// An idle connection that became readable was closed by the other end, or
+// An idle connection that has become readable was closed by the endpoint, or
 // holds bytes that belong to no request.
 bool
 IsStillOpen(EndpointConnection& aConnection)
@@ -51,10 +51,10 @@
 }
 
 void
-ConnectionPool::Keep(const Runner& aRunner,
-                     EndpointConnectionPtr aConnection,
-                     TimePoint aNow,
-                     Duration aIdleFor)
+ConnectionPool::AddIdle(const Runner& aRunner,
+                        EndpointConnectionPtr aConnection,
+                        TimePoint aNow,
+                        Duration aIdleFor)
 {
   std::vector<EndpointConnectionPtr>& idle = m_idle[KeyOf(aRunner)];
   if (idle.size() >= kMaxIdlePerEndpoint || aIdleFor <= Duration::zero()) {
@@ -67,7 +67,7 @@
 }
 
 void
-ConnectionPool::Drop(const Runner& aRunner)
+ConnectionPool::CloseIdle(const Runner& aRunner)
 {
   if (const auto found = m_idle.find(KeyOf(aRunner)); found != m_idle.end()) {
     m_count -= found->second.size();
@@ -76,7 +76,7 @@
 }
 
 void
-ConnectionPool::Sweep(TimePoint aNow)
+ConnectionPool::CloseExpired(TimePoint aNow)
 {
   for (auto place = m_idle.begin(); place != m_idle.end();) {
     m_count -= std::erase_if(place->second, [&](const auto& aConnection) {
--- a/Source/Forwarding/PathDoctor.cxx
+++ b/Source/Forwarding/PathDoctor.cxx
@@ -269,7 +269,7 @@
 asio::awaitable<CallResult>
 PathDoctor::AskState(RunnerPtr aRunner, ConnectionChoice aChoice)
 {
-  HttpRequest request(http::verb::get, m_dialect.StatePath(), kHttp11);
+  HttpRequest request(http::verb::get, m_dialect.EngineStatePath(), kHttp11);
   request.set(http::field::host, aRunner->m_address.ToString());
   co_return co_await m_client.Call(aRunner->m_address,
                                    std::move(request),
@@ -291,7 +291,7 @@
   m_patients[KeyOf(*aRunner)].m_runner = aRunner;
   std::optional<EngineState> state;
   if (result.m_response && result.m_response->result_int() == kOk) {
-    state = m_dialect.ReadState(result.m_response->body());
+    state = m_dialect.ParseEngineState(result.m_response->body());
   }
   const TimePoint now = BootClock::now();
   // An engine that started again answers, but knows nothing of its streams.
