--- a/Source/Forwarding/CallerLink.cxx
+++ b/Source/Forwarding/CallerLink.cxx
@@ -167,7 +167,7 @@
 }
 
 void
-CallerLink::OnOverdue(TimePoint /*aNow*/)
+CallerLink::OnDeadline(TimePoint /*aNow*/)
 {
   m_isOverdue = true;
   ClearDeadline();
--- a/Source/Forwarding/CallerLink.h
+++ b/Source/Forwarding/CallerLink.h
@@ -10,7 +10,7 @@
 #include <boost/beast/http/parser.hpp>
 
 #include "Base/Clock.h"
-#include "Forwarding/ActivityWatch.h"
+#include "Forwarding/DeadlineMonitor.h"
 #include "Routing/RoutingConfig.h"
 #include "Wire/Http.h"
 
@@ -29,7 +29,7 @@
 
 // Invariant: one operation at a time, but for the watch on the caller's end.
 class CallerLink final
-  : public Watched
+  : public MonitoredWait
   , public std::enable_shared_from_this<CallerLink>
 {
 public:
@@ -54,7 +54,7 @@
   // An idle connection is closed without an answer.
   void CloseIfIdle();
 
-  void OnOverdue(TimePoint aNow) override;
+  void OnDeadline(TimePoint aNow) override;
 
 private:
   ReadEnd Classify(const beast::error_code& aError) const;
--- a/Source/Forwarding/ForwardGateway.cxx
+++ b/Source/Forwarding/ForwardGateway.cxx
@@ -8,10 +8,10 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "Forwarding/AcceptLoop.h"
-#include "Forwarding/ActivityWatch.h"
+#include "Forwarding/DeadlineMonitor.h"
+#include "Forwarding/EngineFailureDetector.h"
 #include "Forwarding/ForwardSession.h"
 #include "Forwarding/HttpService.h"
-#include "Forwarding/PathDoctor.h"
 
 namespace parsleycove {
 
@@ -37,28 +37,37 @@
         MetricRegistry& aMetrics)
     : m_options(aOptions)
     , m_log(aLog)
-    , m_board(m_options, aControl, aCodec, aLog)
-    , m_callWatch(aContext, kCallCheck)
-    , m_callerWatch(aContext, kCallerCheck)
-    , m_doctor(aContext, aDialect, aLog)
+    , m_routing(m_options, aControl, aCodec, aLog)
+    , m_callDeadlines(aContext, kCallCheck)
+    , m_callerDeadlines(aContext, kCallerCheck)
+    , m_failureDetector(aContext, aDialect, aLog)
     , m_drain(m_options.m_drainGrace)
     , m_metrics(aMetrics)
-    , m_services{ aContext, m_options,   aDialect,      m_board,
-                  m_pool,   m_callWatch, m_callerWatch, m_doctor,
-                  m_drain,  aLog,        m_metrics }
+    , m_services{ aContext,
+                  m_options,
+                  aDialect,
+                  m_routing,
+                  m_pool,
+                  m_callDeadlines,
+                  m_callerDeadlines,
+                  m_failureDetector,
+                  m_drain,
+                  aLog,
+                  m_metrics }
     , m_accept(aContext, m_options.m_maxConnections)
     , m_readiness(aContext,
                   [this](const HttpRequest&) { return AnswerReadiness(); })
     , m_upkeepTimer(aContext)
   {
-    m_doctor.Attach(m_board, m_metrics, m_callWatch);
-    m_callWatch.SetObserver([this](TimePoint aNow) { m_doctor.Check(aNow); });
+    m_failureDetector.Attach(m_routing, m_metrics, m_callDeadlines);
+    m_callDeadlines.SetObserver(
+      [this](TimePoint aNow) { m_failureDetector.Check(aNow); });
   }
 
   asio::awaitable<HttpResponse> AnswerReadiness()
   {
     const TimePoint now = BootClock::now();
-    m_board.Refresh(now);
+    m_routing.Refresh(now);
     const bool isReady = IsReady(now);
     co_return MakeTextAnswer(isReady ? http::status::ok
                                      : http::status::service_unavailable,
@@ -68,13 +77,13 @@
   bool IsReady(TimePoint aNow) const
   {
     return m_drain.Phase(aNow) == DrainPhase::Serving &&
-           m_board.Config() != nullptr && m_board.HasLease(aNow);
+           m_routing.Config() != nullptr && m_routing.HasLease(aNow);
   }
 
   asio::awaitable<void> Serve(Tcp::socket aSocket)
   {
     auto caller = std::make_shared<CallerLink>(std::move(aSocket));
-    m_callerWatch.Add(*caller);
+    m_callerDeadlines.Add(*caller);
     m_callers.push_back(caller);
     co_await RunForwardSession(m_services, caller);
   }
@@ -82,8 +91,8 @@
   void KeepUp()
   {
     const TimePoint now = BootClock::now();
-    m_board.Refresh(now);
-    m_doctor.Check(now);
+    m_routing.Refresh(now);
+    m_failureDetector.Check(now);
     m_pool.Sweep(now);
     std::erase_if(m_callers,
                   [](const auto& aCaller) { return aCaller.expired(); });
@@ -104,11 +113,11 @@
 
   const ForwardOptions m_options;
   DecisionLog& m_log;
-  RoutingBoard m_board;
+  RoutingState m_routing;
   ConnectionPool m_pool;
-  ActivityWatch m_callWatch;
-  ActivityWatch m_callerWatch;
-  PathDoctor m_doctor;
+  DeadlineMonitor m_callDeadlines;
+  DeadlineMonitor m_callerDeadlines;
+  EngineFailureDetector m_failureDetector;
   DrainState m_drain;
   ForwardMetrics m_metrics;
   ForwardServices m_services;
--- a/Source/Forwarding/ForwardSession.cxx
+++ b/Source/Forwarding/ForwardSession.cxx
@@ -9,8 +9,8 @@
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
+#include "Forwarding/ForwardedRequest.h"
 #include "Forwarding/PlainForwarder.h"
-#include "Forwarding/RequestJob.h"
 #include "Forwarding/StreamForwarder.h"
 
 namespace parsleycove {
@@ -107,7 +107,7 @@
   asio::awaitable<void> Run()
   {
     for (;;) {
-      const auto config = m_services.m_board.HoldConfig();
+      const auto config = m_services.m_routing.SharedConfig();
       const CallerLimits limits = config ? config->Limits() : CallerLimits{};
       const ReadEnd end = co_await m_caller->ReadRequest(limits);
       if (end == ReadEnd::Closed) {
@@ -128,99 +128,100 @@
 private:
   asio::awaitable<void> AnswerReadFailure(unsigned aStatus)
   {
-    RequestJob job{ m_services, m_caller };
-    job.m_arrival = BootClock::now();
+    ForwardedRequest request{ m_services, m_caller };
+    request.m_arrival = BootClock::now();
     m_caller->CloseAfterAnswer();
-    co_await Fail(job, aStatus, "the request cannot be read");
+    co_await Fail(request, aStatus, "the request cannot be read");
   }
 
   asio::awaitable<void> Serve()
   {
     const ActiveRequest active(m_services.m_drain);
-    RequestJob job{ m_services, m_caller };
-    job.m_arrival = BootClock::now();
-    if (m_services.m_drain.Phase(job.m_arrival) != DrainPhase::Serving) {
+    ForwardedRequest request{ m_services, m_caller };
+    request.m_arrival = BootClock::now();
+    if (m_services.m_drain.Phase(request.m_arrival) != DrainPhase::Serving) {
       m_caller->CloseAfterAnswer();
     }
-    m_caller->WatchEnd([&job] {
-      if (job.m_call) {
-        job.m_call->Abort(CallEnd::CallerGone);
+    m_caller->WatchEnd([&request] {
+      if (request.m_call) {
+        request.m_call->Abort(CallEnd::CallerGone);
       }
     });
-    if (co_await Prepare(job)) {
-      if (job.m_route->m_kind == RequestKind::Streaming) {
-        co_await ForwardStream(job);
+    if (co_await Prepare(request)) {
+      if (request.m_route->m_kind == RequestKind::Streaming) {
+        co_await ForwardStream(request);
       } else {
-        co_await ForwardPlain(job);
+        co_await ForwardPlain(request);
       }
     }
     m_caller->StopWatching();
-    Record(job);
+    Record(request);
   }
 
   // Finds route and account; answers itself and returns false where the
   // request goes no further.
-  asio::awaitable<bool> Prepare(RequestJob& aJob)
+  asio::awaitable<bool> Prepare(ForwardedRequest& aRequest)
   {
-    RoutingBoard& board = m_services.m_board;
-    aJob.m_marks = m_services.m_dialect.ReadCaller(aJob.Request());
-    aJob.m_deadline =
-      aJob.m_arrival + aJob.m_marks.m_patience.value_or(kDefaultPatience);
+    RoutingState& routing = m_services.m_routing;
+    aRequest.m_marks = m_services.m_dialect.ReadCaller(aRequest.Http());
+    aRequest.m_deadline =
+      aRequest.m_arrival +
+      aRequest.m_marks.m_patience.value_or(kDefaultPatience);
     // What is taken so late would be cut off at the end of the grace, and with
     // it the VM would stay longer than the balancer sends callers to it.
-    if (m_services.m_drain.Phase(aJob.m_arrival) == DrainPhase::Draining) {
-      co_await Refuse(aJob, RefusalCause::Stopping);
+    if (m_services.m_drain.Phase(aRequest.m_arrival) == DrainPhase::Draining) {
+      co_await Refuse(aRequest, RefusalCause::Stopping);
       co_return false;
     }
-    co_await WaitForControl(aJob);
-    if (board.Config() == nullptr) {
-      co_await Refuse(aJob, RefusalCause::NoConfiguration);
+    co_await WaitForControl(aRequest);
+    if (routing.Config() == nullptr) {
+      co_await Refuse(aRequest, RefusalCause::NoConfiguration);
       co_return false;
     }
-    Finding finding = Find(aJob);
+    Finding finding = Find(aRequest);
     if (finding == Finding::NoRoute || finding == Finding::UnknownKey) {
-      if (!co_await ConfirmCopy(aJob)) {
-        co_await Refuse(aJob, RefusalCause::NoLease);
+      if (!co_await ConfirmCopy(aRequest)) {
+        co_await Refuse(aRequest, RefusalCause::NoLease);
         co_return false;
       }
-      finding = Find(aJob);
+      finding = Find(aRequest);
     }
     switch (finding) {
       case Finding::Found:
         break;
       case Finding::NoLease:
-        co_await Refuse(aJob, RefusalCause::NoLease);
+        co_await Refuse(aRequest, RefusalCause::NoLease);
         co_return false;
       case Finding::NoRoute:
-        co_await Fail(aJob, kNotFound, "no route for this host and path");
+        co_await Fail(aRequest, kNotFound, "no route for this host and path");
         co_return false;
       case Finding::UnknownKey:
-        co_await Fail(aJob, kUnauthorized, "the key belongs to no account");
+        co_await Fail(aRequest, kUnauthorized, "the key belongs to no account");
         co_return false;
     }
-    aJob.m_service = board.ChooseService(*aJob.m_route);
-    aJob.m_deadline =
-      std::min(aJob.m_deadline, aJob.m_arrival + aJob.m_route->m_timeout);
+    aRequest.m_service = routing.ChooseService(*aRequest.m_route);
+    aRequest.m_deadline = std::min(
+      aRequest.m_deadline, aRequest.m_arrival + aRequest.m_route->m_timeout);
     co_return true;
   }
 
   // Pattern: all VMs start again at once, or the group elects a leader. The
   // copy comes within about a second; a caller who is sent away instead comes
   // back too early, or not at all.
-  asio::awaitable<void> WaitForControl(RequestJob& aJob)
+  asio::awaitable<void> WaitForControl(ForwardedRequest& aRequest)
   {
-    RoutingBoard& board = m_services.m_board;
+    RoutingState& routing = m_services.m_routing;
     const TimePoint patience =
-      aJob.m_arrival + (aJob.m_deadline - aJob.m_arrival) / 3;
+      aRequest.m_arrival + (aRequest.m_deadline - aRequest.m_arrival) / 3;
     asio::steady_timer timer(m_services.m_context);
     for (;;) {
       const TimePoint now = BootClock::now();
-      board.Refresh(now);
-      const bool isReady = board.Config() != nullptr && board.HasLease(now);
+      routing.Refresh(now);
+      const bool isReady = routing.Config() != nullptr && routing.HasLease(now);
       // A VM that has been cut off for longer will be so for some time.
       const TimePoint until =
-        std::min(patience, board.LeaseLostAt() + kControlWait);
-      if (isReady || now >= until || aJob.m_caller->IsGone()) {
+        std::min(patience, routing.LeaseLostAt() + kControlWait);
+      if (isReady || now >= until || aRequest.m_caller->IsGone()) {
         co_return;
       }
       timer.expires_after(kControlLook);
@@ -229,84 +230,88 @@
   }
 
   // Looks the request up in the present copy.
-  Finding Find(RequestJob& aJob)
+  Finding Find(ForwardedRequest& aRequest)
   {
-    RoutingBoard& board = m_services.m_board;
-    const bool hasLease = board.HasLease(BootClock::now());
-    aJob.m_config = board.HoldConfig();
-    aJob.m_account = nullptr;
-    aJob.m_route = aJob.m_config->FindRoute(ReadHost(aJob.Request()),
-                                            PathOf(aJob.Request()));
-    if (aJob.m_route == nullptr) {
+    RoutingState& routing = m_services.m_routing;
+    const bool hasLease = routing.HasLease(BootClock::now());
+    aRequest.m_config = routing.SharedConfig();
+    aRequest.m_account = nullptr;
+    aRequest.m_route = aRequest.m_config->FindRoute(ReadHost(aRequest.Http()),
+                                                    PathOf(aRequest.Http()));
+    if (aRequest.m_route == nullptr) {
       return hasLease ? Finding::NoRoute : Finding::NoLease;
     }
-    if (!aJob.m_config->HasAccounts()) {
+    if (!aRequest.m_config->HasAccounts()) {
       return Finding::Found;
     }
-    const std::string_view key = aJob.m_marks.m_key;
-    const bool mayBeAnonymous = aJob.m_route->m_allowsAnonymous;
+    const std::string_view key = aRequest.m_marks.m_key;
+    const bool mayBeAnonymous = aRequest.m_route->m_allowsAnonymous;
     // A key may have been taken away since the last confirmation.
     if (!hasLease && !mayBeAnonymous) {
       return Finding::NoLease;
     }
     if (!key.empty() && hasLease) {
-      aJob.m_account = aJob.m_config->FindAccount(key);
+      aRequest.m_account = aRequest.m_config->FindAccount(key);
     }
-    return aJob.m_account != nullptr || mayBeAnonymous ? Finding::Found
-                                                       : Finding::UnknownKey;
+    return aRequest.m_account != nullptr || mayBeAnonymous
+             ? Finding::Found
+             : Finding::UnknownKey;
   }
 
   // Pattern: a VM whose feed has just broken goes on by its lease, and a
   // version that was accepted meanwhile adds a route or a key. The lease says
   // that nothing was taken away long ago; what is not there needs a quorum's
   // word.
-  asio::awaitable<bool> ConfirmCopy(RequestJob& aJob)
+  asio::awaitable<bool> ConfirmCopy(ForwardedRequest& aRequest)
   {
     const TimePoint deadline =
-      BootClock::now() + std::min(kConfirmWait, aJob.TimeLeft() / 3);
-    const bool isConfirmed = co_await m_services.m_board.Confirm(
-      m_services.m_context, deadline, aJob.m_detail);
-    m_services.m_board.Refresh(BootClock::now());
+      BootClock::now() + std::min(kConfirmWait, aRequest.TimeLeft() / 3);
+    const bool isConfirmed = co_await m_services.m_routing.Confirm(
+      m_services.m_context, deadline, aRequest.m_detail);
+    m_services.m_routing.Refresh(BootClock::now());
     co_return isConfirmed;
   }
 
-  void Record(const RequestJob& aJob)
+  void Record(const ForwardedRequest& aRequest)
   {
     const RequestKind kind =
-      aJob.m_route ? aJob.m_route->m_kind : RequestKind::Unsafe;
-    m_services.m_metrics.Count(kind, aJob.m_end);
-    if (kind != RequestKind::Streaming && aJob.m_end == RequestEnd::Answered) {
-      m_services.m_metrics.RecordFirst(kind, aJob.m_firstAfter);
+      aRequest.m_route ? aRequest.m_route->m_kind : RequestKind::Unsafe;
+    m_services.m_metrics.Count(kind, aRequest.m_end);
+    if (kind != RequestKind::Streaming &&
+        aRequest.m_end == RequestEnd::Answered) {
+      m_services.m_metrics.RecordFirst(kind, aRequest.m_firstAnswerDelay);
     }
     // A refusal has had its line, with what decided it.
-    if (aJob.m_end == RequestEnd::Refused) {
+    if (aRequest.m_end == RequestEnd::Refused) {
       return;
     }
-    m_services.m_log.Write(EventOf(aJob.m_end), [&](DecisionLine& aLine) {
-      if (aJob.m_path && (aJob.m_path->m_crossings != 0 ||
-                          aJob.m_end != RequestEnd::Answered)) {
-        aLine.Add("path", aJob.m_path->Describe());
+    m_services.m_log.Write(EventOf(aRequest.m_end), [&](DecisionLine& aLine) {
+      if (aRequest.m_path && (aRequest.m_path->m_crossings != 0 ||
+                              aRequest.m_end != RequestEnd::Answered)) {
+        aLine.Add("path", aRequest.m_path->Describe());
       }
-      aLine.Add("id", aJob.m_marks.m_attemptId)
-        .Add("route", aJob.m_route ? aJob.m_route->m_name : "")
+      aLine.Add("id", aRequest.m_marks.m_attemptId)
+        .Add("route", aRequest.m_route ? aRequest.m_route->m_name : "")
         .Add("kind", NameOf(kRequestKindNames, kind))
-        .Add("account", aJob.m_account ? aJob.m_account->m_name : "")
-        .Add("service", aJob.m_service)
-        .Add("endpoint", aJob.m_lastEndpoint)
-        .Add("status", aJob.m_status)
-        .Add("why", aJob.m_why)
-        .Add("last_fault", aJob.m_lastFault)
-        .Add("attempts", aJob.m_attempts)
-        .Add("resumes", aJob.m_resumes)
+        .Add("account", aRequest.m_account ? aRequest.m_account->m_name : "")
+        .Add("service", aRequest.m_service)
+        .Add("endpoint", aRequest.m_lastEndpoint)
+        .Add("status", aRequest.m_status)
+        .Add("why", aRequest.m_why)
+        .Add("last_fault", aRequest.m_lastFault)
+        .Add("attempts", aRequest.m_attempts)
+        .Add("resumes", aRequest.m_resumes)
         .Add("crossings",
-             aJob.m_path ? static_cast<std::int64_t>(aJob.m_path->m_crossings)
-                         : 0)
-        .AddMs("first_ms", aJob.m_firstAfter)
-        .AddMs("longest_gap_ms", aJob.m_longestGap)
-        .AddMs("took_ms", BootClock::now() - aJob.m_arrival)
+             aRequest.m_path
+               ? static_cast<std::int64_t>(aRequest.m_path->m_crossings)
+               : 0)
+        .AddMs("first_ms", aRequest.m_firstAnswerDelay)
+        .AddMs("longest_gap_ms", aRequest.m_longestGap)
+        .AddMs("took_ms", BootClock::now() - aRequest.m_arrival)
         .Add("config",
-             aJob.m_config ? static_cast<std::int64_t>(aJob.m_config->Version())
-                           : 0);
+             aRequest.m_config
+               ? static_cast<std::int64_t>(aRequest.m_config->Version())
+               : 0);
     });
   }
 
--- a/Source/Forwarding/PlainForwarder.cxx
+++ b/Source/Forwarding/PlainForwarder.cxx
@@ -33,28 +33,29 @@
 class PlainForwarder
 {
 public:
-  explicit PlainForwarder(RequestJob& aJob)
-    : m_job(aJob)
-    , m_services(aJob.m_services)
-    , m_desk(aJob.m_services.m_board.DeskOf(aJob.m_service))
+  explicit PlainForwarder(ForwardedRequest& aRequest)
+    : m_request(aRequest)
+    , m_services(aRequest.m_services)
+    , m_serviceState(
+        aRequest.m_services.m_routing.ServiceState(aRequest.m_service))
   {
   }
 
   asio::awaitable<void> Run()
   {
-    m_desk.m_retries.RecordRequest(BootClock::now());
+    m_serviceState.m_retries.RecordRequest(BootClock::now());
     for (;;) {
-      if (m_job.m_caller->IsGone()) {
-        m_job.m_end = RequestEnd::CallerGone;
+      if (m_request.m_caller->IsGone()) {
+        m_request.m_end = RequestEnd::CallerGone;
         co_return;
       }
-      if (m_job.IsOutOfTime()) {
+      if (m_request.IsOutOfTime()) {
         co_await EndWithoutAnswer(RefusalCause::OutOfTime);
         co_return;
       }
       const RunnerPtr runner = Pick();
       if (!runner) {
-        co_await EndWithoutAnswer(m_job.m_attempts + m_connectFailures == 0
+        co_await EndWithoutAnswer(m_request.m_attempts + m_connectFailures == 0
                                     ? RefusalCause::NoEndpoint
                                     : RefusalCause::EndpointsRefuse);
         co_return;
@@ -74,103 +75,106 @@
   RunnerPtr Pick()
   {
     PickRequest request;
-    request.m_service = m_job.m_service;
-    request.m_excluded = m_job.m_excluded;
+    request.m_service = m_request.m_service;
+    request.m_excluded = m_request.m_excluded;
     request.m_ownZone = m_services.m_options.m_zone;
-    return m_services.m_board.PickEndpoint(BootClock::now(), request);
+    return m_services.m_routing.PickEndpoint(BootClock::now(), request);
   }
 
   bool HasOther(const RunnerPtr& aRunner)
   {
-    const RunnerTable* table = m_services.m_board.Runners();
-    const auto* all = table ? table->FindService(m_job.m_service) : nullptr;
+    const RunnerTable* table = m_services.m_routing.Runners();
+    const auto* all = table ? table->FindService(m_request.m_service) : nullptr;
     return all != nullptr &&
            std::any_of(all->begin(), all->end(), [&](const RunnerPtr& aOther) {
              return aOther->m_id != aRunner->m_id &&
-                    std::find(m_job.m_excluded.begin(),
-                              m_job.m_excluded.end(),
-                              aOther->m_id) == m_job.m_excluded.end();
+                    std::find(m_request.m_excluded.begin(),
+                              m_request.m_excluded.end(),
+                              aOther->m_id) == m_request.m_excluded.end();
            });
   }
 
   bool MayTryAgain(CallVerdict aVerdict)
   {
     const bool kindAllows =
-      aVerdict == CallVerdict::NotRun || m_job.m_route->MayRepeat();
+      aVerdict == CallVerdict::NotRun || m_request.m_route->MayRepeat();
     const bool countAllows = m_connectFailures < kMaxConnectFailures &&
-                             m_runs < m_job.m_route->m_maxAttempts;
+                             m_runs < m_request.m_route->m_maxAttempts;
     // Where no byte has left, the first sending is still to come.
-    const bool isRepeat = m_job.m_attempts > 0;
-    return kindAllows && countAllows && !m_job.m_caller->IsGone() &&
-           (!isRepeat || m_desk.m_retries.Spend(BootClock::now(),
-                                                m_services.m_board.Gateways()));
+    const bool isRepeat = m_request.m_attempts > 0;
+    return kindAllows && countAllows && !m_request.m_caller->IsGone() &&
+           (!isRepeat ||
+            m_serviceState.m_retries.Spend(
+              BootClock::now(), m_services.m_routing.GatewayCount()));
   }
 
   asio::awaitable<CallVerdict> Try(RunnerPtr aRunner)
   {
-    m_job.m_excluded.push_back(aRunner->m_id);
+    m_request.m_excluded.push_back(aRunner->m_id);
     const TimePoint startedAt = BootClock::now();
-    const ForwardCallPtr call = co_await StartCall(
-      m_job,
+    const EndpointCallPtr call = co_await StartCall(
+      m_request,
       aRunner,
       nullptr,
       {},
-      std::min<Duration>(kConnectTimeout, m_job.TimeLeft() / 2));
+      std::min<Duration>(kConnectTimeout, m_request.TimeLeft() / 2));
     if (!call) {
       ++m_connectFailures;
       NoteFailure(*aRunner, "not_connected");
       co_return CallVerdict::NotRun;
     }
-    ++m_job.m_attempts;
+    ++m_request.m_attempts;
     ++m_runs;
     call->SetDeadline(ChooseDeadline(aRunner));
     const CallVerdict verdict = co_await Receive(*call);
-    m_job.m_call = nullptr;
+    m_request.m_call = nullptr;
     const TimePoint now = BootClock::now();
     call->Release(now);
-    if (verdict == CallVerdict::Ended && m_job.m_end == RequestEnd::Answered) {
+    if (verdict == CallVerdict::Ended &&
+        m_request.m_end == RequestEnd::Answered) {
       FollowCircuit(*aRunner, "it answered a request", [&](TimePoint aNow) {
         aRunner->m_load->Clear(aNow);
       });
-      m_desk.m_usual += (now - startedAt - m_desk.m_usual) / kUsualWeight;
+      m_serviceState.m_averageLatency +=
+        (now - startedAt - m_serviceState.m_averageLatency) / kUsualWeight;
     }
     co_return verdict;
   }
 
   TimePoint ChooseDeadline(const RunnerPtr& aRunner)
   {
-    const bool mayMove = m_job.m_route->MayRepeat() &&
-                         m_runs < m_job.m_route->m_maxAttempts &&
+    const bool mayMove = m_request.m_route->MayRepeat() &&
+                         m_runs < m_request.m_route->m_maxAttempts &&
                          HasOther(aRunner);
     if (!mayMove) {
-      return m_job.m_deadline;
+      return m_request.m_deadline;
     }
-    const Duration silence =
-      std::max<Duration>(kMinSilence, m_desk.m_usual * kSilenceFactor);
-    return std::min(m_job.m_deadline, BootClock::now() + silence);
+    const Duration silence = std::max<Duration>(
+      kMinSilence, m_serviceState.m_averageLatency * kSilenceFactor);
+    return std::min(m_request.m_deadline, BootClock::now() + silence);
   }
 
-  asio::awaitable<CallVerdict> Receive(ForwardCall& aCall)
+  asio::awaitable<CallVerdict> Receive(EndpointCall& aCall)
   {
     std::string body;
     if (!co_await ReadOwnAnswer(aCall, body)) {
       co_return co_await NoteBroken(aCall);
     }
-    const ForwardCall::Header& answer = aCall.Answer();
+    const EndpointCall::Header& answer = aCall.Answer();
     const unsigned status = answer.result_int();
     const AnswerMarks marks = m_services.m_dialect.ReadAnswer(status, answer);
     NoteLoad(*aCall.Target(), marks);
     if (marks.m_isNotRun) {
       --m_runs;
-      m_job.m_lastFault = "endpoint_refused";
+      m_request.m_lastFault = "endpoint_refused";
       co_return CallVerdict::NotRun;
     }
     const bool isFailure = status >= kFirstServerError;
-    if (isFailure && m_job.m_route->m_kind == RequestKind::Safe &&
-        m_runs < m_job.m_route->m_maxAttempts && HasOther(aCall.Target()) &&
-        m_desk.m_retries.Left(BootClock::now(),
-                              m_services.m_board.Gateways()) >= 1) {
-      m_job.m_lastFault = "endpoint_failed";
+    if (isFailure && m_request.m_route->m_kind == RequestKind::Safe &&
+        m_runs < m_request.m_route->m_maxAttempts && HasOther(aCall.Target()) &&
+        m_serviceState.m_retries.Left(
+          BootClock::now(), m_services.m_routing.GatewayCount()) >= 1) {
+      m_request.m_lastFault = "endpoint_failed";
       co_return CallVerdict::Failed;
     }
     co_await Deliver(aCall, marks, std::move(body));
@@ -178,7 +182,7 @@
   }
 
   // Reads a whole answer, passing over answers to other requests.
-  asio::awaitable<bool> ReadOwnAnswer(ForwardCall& aCall, std::string& aBody)
+  asio::awaitable<bool> ReadOwnAnswer(EndpointCall& aCall, std::string& aBody)
   {
     constexpr int kMostForeign = 2;
     for (int i = 0; i <= kMostForeign; ++i) {
@@ -188,7 +192,7 @@
       }
       while (co_await aCall.ReadBody(aBody)) {
         // Whether the answer is whole must be known before its length is told.
-        if (aBody.size() > m_job.m_config->Limits().m_maxBodyBytes) {
+        if (aBody.size() > m_request.m_config->Limits().m_maxBodyBytes) {
           aCall.Abort(CallEnd::Broken);
         }
       }
@@ -204,22 +208,22 @@
     co_return false;
   }
 
-  bool IsForeign(const ForwardCall& aCall) const
+  bool IsForeign(const EndpointCall& aCall) const
   {
-    const ForwardCall::Header& answer = aCall.Answer();
+    const EndpointCall::Header& answer = aCall.Answer();
     const AnswerMarks marks =
       m_services.m_dialect.ReadAnswer(answer.result_int(), answer);
     if (marks.m_attemptId.empty()) {
       return answer.result_int() < kFirstClientError;
     }
-    return marks.m_attemptId != m_job.m_marks.m_attemptId;
+    return marks.m_attemptId != m_request.m_marks.m_attemptId;
   }
 
-  asio::awaitable<void> Deliver(ForwardCall& aCall,
+  asio::awaitable<void> Deliver(EndpointCall& aCall,
                                 const AnswerMarks& aMarks,
                                 std::string aBody)
   {
-    const ForwardCall::Header& answer = aCall.Answer();
+    const EndpointCall::Header& answer = aCall.Answer();
     unsigned status = answer.result_int();
     const bool isSuccess = status < kFirstClientError;
     // The endpoint may have run it: no promise may be passed on.
@@ -227,36 +231,36 @@
         (isSuccess && !aMarks.m_isSigned)) {
       status = kBadGateway;
     }
-    m_job.m_status = status;
-    m_job.m_end =
+    m_request.m_status = status;
+    m_request.m_end =
       status < kFirstClientError ? RequestEnd::Answered : RequestEnd::Failed;
-    m_job.m_firstAfter = BootClock::now() - m_job.m_arrival;
+    m_request.m_firstAnswerDelay = BootClock::now() - m_request.m_arrival;
     if (status == kBadGateway && status != answer.result_int()) {
-      m_job.m_why = "the endpoint's status " +
-                    std::to_string(answer.result_int()) +
-                    " cannot be passed on";
-    } else if (m_job.m_end == RequestEnd::Failed) {
-      m_job.m_why = "the endpoint answered so";
+      m_request.m_why = "the endpoint's status " +
+                        std::to_string(answer.result_int()) +
+                        " cannot be passed on";
+    } else if (m_request.m_end == RequestEnd::Failed) {
+      m_request.m_why = "the endpoint answered so";
     }
     std::string out = MakeAnswerHeader(
-      m_job, status, answer, static_cast<std::int64_t>(aBody.size()));
-    if (m_job.Request().method() != http::verb::head) {
+      m_request, status, answer, static_cast<std::int64_t>(aBody.size()));
+    if (m_request.Http().method() != http::verb::head) {
       out.append(aBody);
     }
-    if (!co_await m_job.m_caller->Write(std::move(out), kWriteTimeout)) {
-      m_job.m_end = RequestEnd::CallerGone;
+    if (!co_await m_request.m_caller->Write(std::move(out), kWriteTimeout)) {
+      m_request.m_end = RequestEnd::CallerGone;
     }
   }
 
-  asio::awaitable<CallVerdict> NoteBroken(ForwardCall& aCall)
+  asio::awaitable<CallVerdict> NoteBroken(EndpointCall& aCall)
   {
     const CallEnd end = aCall.End();
     if (end == CallEnd::CallerGone) {
-      m_job.m_end = RequestEnd::CallerGone;
+      m_request.m_end = RequestEnd::CallerGone;
       co_return CallVerdict::Ended;
     }
     m_lastEnd = end;
-    m_job.m_lastFault = NameOfEnd(end);
+    m_request.m_lastFault = NameOfEnd(end);
     if (end == CallEnd::Overdue) {
       FollowCircuit(*aCall.Target(), NameOfEnd(end), [&](TimePoint aNow) {
         aCall.Target()->m_load->RecordSilence(aNow, aCall.SentAt());
@@ -301,23 +305,24 @@
                            [&](DecisionLine& aLine) {
                              aLine.Add("endpoint", aRunner.m_id)
                                .Add("why", aWhy)
-                               .Add("id", m_job.m_marks.m_attemptId);
+                               .Add("id", m_request.m_marks.m_attemptId);
                            });
   }
 
   // The promise of a refusal is given only if nothing can have run.
   asio::awaitable<void> EndWithoutAnswer(RefusalCause aCause)
   {
-    if (m_job.m_caller->IsGone()) {
-      m_job.m_end = RequestEnd::CallerGone;
+    if (m_request.m_caller->IsGone()) {
+      m_request.m_end = RequestEnd::CallerGone;
       co_return;
     }
     if (m_runs == 0) {
-      co_await Refuse(m_job, aCause);
+      co_await Refuse(m_request, aCause);
       co_return;
     }
-    const bool isLate = m_lastEnd == CallEnd::Overdue || m_job.IsOutOfTime();
-    co_await Fail(m_job,
+    const bool isLate =
+      m_lastEnd == CallEnd::Overdue || m_request.IsOutOfTime();
+    co_await Fail(m_request,
                   isLate ? kGatewayTimeout : kBadGateway,
                   "the endpoint did not answer: " +
                     std::string(NameOfEnd(m_lastEnd)));
@@ -325,9 +330,9 @@
 
   static constexpr unsigned kFirstClientError = 400;
 
-  RequestJob& m_job;
+  ForwardedRequest& m_request;
   ForwardServices& m_services;
-  ServiceDesk& m_desk;
+  ServiceRoutingState& m_serviceState;
   // Sendings that no endpoint has shown to be without effect.
   std::uint32_t m_runs = 0;
   std::size_t m_connectFailures = 0;
@@ -337,9 +342,9 @@
 } // namespace
 
 asio::awaitable<void>
-ForwardPlain(RequestJob& aJob)
+ForwardPlain(ForwardedRequest& aRequest)
 {
-  PlainForwarder forwarder(aJob);
+  PlainForwarder forwarder(aRequest);
   co_await forwarder.Run();
 }
 
