--- a/Tests/Forwarding/PartsTest.cxx
+++ b/Tests/Forwarding/PartsTest.cxx
@@ -102,7 +102,8 @@
   static FailureReportDecision Evaluate(int aSilentMs, bool aHasStreams)
   {
     return EvaluateFailureReport(
-      { std::chrono::milliseconds(aSilentMs), aHasStreams, kStallThreshold }, kRecentWindow);
+      { std::chrono::milliseconds(aSilentMs), aHasStreams, kStallThreshold },
+      kRecentWindow);
   }
 };
 // clang-format on
@@ -113,8 +114,8 @@
 }
 
 // Failure: a gateway that is cut off from an engine reports the engine as
-// failed, while other gateways still receive its events. They must not leave
-// the engine.
+// failed. The other gateways still receive events from the engine and must not
+// leave it.
 TEST(FailureReportDecision, AnEngineWhoseStreamsMoveIsNot)
 {
   CHECK(Evaluate(60, true) == FailureReportDecision::Ignore);
--- a/Tests/Forwarding/StreamRerouteTest.cxx
+++ b/Tests/Forwarding/StreamRerouteTest.cxx
@@ -48,7 +48,7 @@
   // Lets the first engine answer reroute orders with aStatus. Its stream pauses
   // after two events until the first order arrives.
   void AnswerOrders(const std::string& aStatus,
-                  const std::function<void(const HttpRequest&)>& aOnStream)
+                    const std::function<void(const HttpRequest&)>& aOnStream)
   {
     m_first->SetScript([this, aStatus, aOnStream](const HttpRequest& aRequest) {
       if (aRequest.target() == kOrderTarget) {
@@ -73,14 +73,16 @@
     return m_fixture->Ask("POST", aPath, kStreamHeader, "prompt");
   }
 
-  // Starts one engine for all layers. The engine answers probes by aAnswer, which
-  // gets the number of the probe. Its stream continues after probe
+  // Starts one engine for all layers. The engine answers probes by aAnswer,
+  // which gets the number of the probe. Its stream continues after probe
   // aContinueAtProbe, and again after the second probe.
-  void StartSingleEngine(const std::function<StubStep(int)>& aAnswer, int aContinueAtProbe = 1)
+  void StartSingleEngine(const std::function<StubStep(int)>& aAnswer,
+                         int aContinueAtProbe = 1)
   {
     m_fixture->PutConfig();
     m_first = &m_fixture->AddEngine(0, 4);
-    m_first->SetScript([this, aAnswer, aContinueAtProbe](const HttpRequest& aRequest) {
+    m_first->SetScript([this, aAnswer, aContinueAtProbe](
+                         const HttpRequest& aRequest) {
       if (aRequest.target() == "/parsleycove/report") {
         return std::vector<StubStep>{ aAnswer(++m_probes) };
       }
@@ -199,7 +201,7 @@
   CHECK(m_fixture->m_sink.Has({ "stream_resumed", "stage_lost" }));
 }
 
-// Failure: an engine takes twelve times as long for some seconds.
+// Failure: every step of an engine takes twelve times as long for some seconds.
 TEST(StreamReroute, AStreamLeavesASlowStage)
 {
   StartWithSpare();
