--- a/Source/Forwarding/EndpointCall.cxx
+++ b/Source/Forwarding/EndpointCall.cxx
@@ -63,7 +63,7 @@
 EndpointCall::SetPath(StagePathPtr aPath)
 {
   m_path = std::move(aPath);
-  m_reservation = PathHold(m_path, m_info.m_tokens);
+  m_reservation = PathReservation(m_path, m_info.m_tokens);
   // The new engines run the prefill first; the silence so far was caused by the
   // engines of the old path.
   const bool hasProgress = HasProgress();
@@ -178,7 +178,7 @@
     constexpr int kWeight = 4;
     m_averageArrivalGap += (now - m_progressAt - m_averageArrivalGap) / kWeight;
     if (m_path) {
-      m_runner->m_load->NoteEventGap(now, now - m_progressAt);
+      m_runner->m_load->RecordEventGap(now, now - m_progressAt);
     }
   }
   m_progressAt = now;
--- a/Source/Forwarding/EndpointCall.h
+++ b/Source/Forwarding/EndpointCall.h
@@ -13,7 +13,7 @@
 #include "Forwarding/ConnectionPool.h"
 #include "Forwarding/DeadlineMonitor.h"
 #include "Forwarding/EndpointConnection.h"
-#include "Routing/PathBook.h"
+#include "Routing/PathSelector.h"
 
 namespace parsleycove {
 
@@ -136,7 +136,7 @@
   const CallInfo m_info;
   // Null for plain calls.
   StagePathPtr m_path;
-  PathHold m_reservation;
+  PathReservation m_reservation;
   bool m_isRerouting = false;
   bool m_mayReroute = true;
   // Null after the connection was returned to the pool.
--- a/Source/Forwarding/EngineFailureDetector.cxx
+++ b/Source/Forwarding/EngineFailureDetector.cxx
@@ -182,7 +182,7 @@
     const bool isUsable =
       runner->m_kind == state::EndpointKind::ManagedEngine &&
       runner->m_phase == state::EndpointPhase::Ready &&
-      runner->m_load->Circuit(aNow) == CircuitState::Ok;
+      runner->m_load->Circuit(aNow) == CircuitState::Closed;
     if (!runner->m_isSuspected || !isUsable) {
       continue;
     }
@@ -270,7 +270,7 @@
     if (health.m_isSuspectedByReport && !isReportedFailed) {
       // The engine has announced itself since the report.
       health.m_isSuspectedByReport = false;
-      if (circuit != CircuitState::Ok) {
+      if (circuit != CircuitState::Closed) {
         StartProbe(aNow, health.m_runner, Duration::zero());
       }
     } else if (circuit == CircuitState::HalfOpen && isReportedFailed &&
@@ -290,7 +290,7 @@
 asio::awaitable<CallResult>
 EngineFailureDetector::FetchState(RunnerPtr aRunner, ConnectionChoice aChoice)
 {
-  HttpRequest request(http::verb::get, m_dialect.StatePath(), kHttp11);
+  HttpRequest request(http::verb::get, m_dialect.EngineStatePath(), kHttp11);
   request.set(http::field::host, aRunner->m_address.ToString());
   co_return co_await m_client.Call(
     aRunner->m_address, std::move(request), m_settings.m_probeTimeout, aChoice);
@@ -310,7 +310,7 @@
   m_health[RunnerKey(*aRunner)].m_runner = aRunner;
   std::optional<EngineState> state;
   if (result.m_response && result.m_response->result_int() == kOk) {
-    state = m_dialect.ReadState(result.m_response->body());
+    state = m_dialect.ParseEngineState(result.m_response->body());
   }
   const TimePoint now = BootClock::now();
   // A restarted engine answers, but has lost the state of its streams.
@@ -370,10 +370,10 @@
   const bool slowChanged = (health.m_slowdown > kSlowdownToAvoid) !=
                            (aState.m_pace > kSlowdownToAvoid);
   health.m_slowdown = aState.m_pace;
-  const bool wasOk = aRunner->m_load->Circuit(now) == CircuitState::Ok;
-  aRunner->m_load->Clear(now);
+  const bool wasOk = aRunner->m_load->Circuit(now) == CircuitState::Closed;
+  aRunner->m_load->CloseCircuit(now);
   if (aState.m_pace > kSlowdownToAvoid || slowChanged) {
-    aRunner->m_load->NotePace(now, aState.m_pace);
+    aRunner->m_load->RecordSlowdown(now, aState.m_pace);
   }
   if (aState.m_pace > kSlowdownToLeave) {
     for (const auto& weak : m_streams) {
--- a/Source/Forwarding/ForwardGateway.cxx
+++ b/Source/Forwarding/ForwardGateway.cxx
@@ -18,10 +18,10 @@
 namespace {
 
 // Fine enough for a pause target of 200 ms.
-constexpr Duration kCallCheck = std::chrono::milliseconds(15);
-constexpr Duration kCallerCheck = std::chrono::milliseconds(250);
+constexpr Duration kCallCheckInterval = std::chrono::milliseconds(15);
+constexpr Duration kCallerCheckInterval = std::chrono::milliseconds(250);
 // New versions come into force at the next request or this look.
-constexpr Duration kUpkeep = std::chrono::milliseconds(150);
+constexpr Duration kMaintenanceInterval = std::chrono::milliseconds(150);
 constexpr Duration kStopMargin = std::chrono::milliseconds(400);
 
 } // namespace
@@ -38,8 +38,8 @@
     : m_options(aOptions)
     , m_log(aLog)
     , m_routing(m_options, aControl, aCodec, aLog)
-    , m_callDeadlines(aContext, kCallCheck)
-    , m_callerDeadlines(aContext, kCallerCheck)
+    , m_callDeadlines(aContext, kCallCheckInterval)
+    , m_callerDeadlines(aContext, kCallerCheckInterval)
     , m_failureDetector(aContext, aDialect, aLog)
     , m_drain(m_options.m_drainGrace)
     , m_metrics(aMetrics)
@@ -57,7 +57,7 @@
     , m_accept(aContext, m_options.m_maxConnections)
     , m_readiness(aContext,
                   [this](const HttpRequest&) { return AnswerReadiness(); })
-    , m_upkeepTimer(aContext)
+    , m_maintenanceTimer(aContext)
   {
     m_failureDetector.Attach(m_routing, m_metrics, m_callDeadlines);
     m_callDeadlines.SetObserver(
@@ -82,13 +82,13 @@
 
   asio::awaitable<void> Serve(Tcp::socket aSocket)
   {
-    auto caller = std::make_shared<CallerLink>(std::move(aSocket));
+    auto caller = std::make_shared<CallerConnection>(std::move(aSocket));
     m_callerDeadlines.Add(*caller);
     m_callers.push_back(caller);
     co_await RunForwardSession(m_services, caller);
   }
 
-  void KeepUp()
+  void RunMaintenance()
   {
     const TimePoint now = BootClock::now();
     m_routing.Refresh(now);
@@ -98,15 +98,15 @@
                   [](const auto& aCaller) { return aCaller.expired(); });
     if (m_drain.Phase(now) == DrainPhase::Draining) {
       for (const auto& weak : m_callers) {
-        if (const CallerLinkPtr caller = weak.lock()) {
+        if (const CallerConnectionPtr caller = weak.lock()) {
           caller->CloseIfIdle();
         }
       }
     }
-    m_upkeepTimer.expires_after(kUpkeep);
-    m_upkeepTimer.async_wait([this](const beast::error_code& aError) {
+    m_maintenanceTimer.expires_after(kMaintenanceInterval);
+    m_maintenanceTimer.async_wait([this](const beast::error_code& aError) {
       if (!aError) {
-        KeepUp();
+        RunMaintenance();
       }
     });
   }
@@ -123,8 +123,8 @@
   ForwardServices m_services;
   AcceptLoop m_accept;
   HttpService m_readiness;
-  asio::steady_timer m_upkeepTimer;
-  std::vector<std::weak_ptr<CallerLink>> m_callers;
+  asio::steady_timer m_maintenanceTimer;
+  std::vector<std::weak_ptr<CallerConnection>> m_callers;
   TimePoint m_stopBegunAt{};
 };
 
@@ -157,7 +157,7 @@
   }
   parts.m_accept.Start(
     [&parts](Tcp::socket aSocket) { return parts.Serve(std::move(aSocket)); });
-  parts.KeepUp();
+  parts.RunMaintenance();
   return true;
 }
 
@@ -181,10 +181,10 @@
   if (parts.m_drain.Phase(aNow) != DrainPhase::Draining) {
     return false;
   }
-  const bool isQuiet = parts.m_drain.Active() == 0;
-  const bool isLate =
+  const bool isIdle = parts.m_drain.Active() == 0;
+  const bool isGraceOver =
     aNow - parts.m_stopBegunAt > parts.m_options.m_stopGrace - kStopMargin;
-  return isQuiet || isLate;
+  return isIdle || isGraceOver;
 }
 
 bool
--- a/Source/Forwarding/ForwardSession.cxx
+++ b/Source/Forwarding/ForwardSession.cxx
@@ -23,12 +23,12 @@
 constexpr unsigned kRequestTimeout = 408;
 constexpr unsigned kBodyTooLarge = 413;
 constexpr unsigned kHeaderTooLarge = 431;
-constexpr Duration kDefaultPatience = std::chrono::seconds(30);
+constexpr Duration kDefaultTimeout = std::chrono::seconds(30);
 // An election and the first confirmation take about a second after a start.
-constexpr Duration kControlWait = std::chrono::milliseconds(2500);
+constexpr Duration kMaxConfigurationWait = std::chrono::milliseconds(2500);
 // A quorum answers within a round trip or two; an election takes a second.
-constexpr Duration kConfirmWait = std::chrono::milliseconds(800);
-constexpr Duration kControlLook = std::chrono::milliseconds(15);
+constexpr Duration kMaxConfirmWait = std::chrono::milliseconds(800);
+constexpr Duration kConfigurationPollInterval = std::chrono::milliseconds(15);
 
 // Host without its port, in lower case.
 std::string
@@ -53,14 +53,14 @@
 }
 
 unsigned
-StatusOf(ReadEnd aEnd)
+StatusOf(ReadResult aEnd)
 {
   switch (aEnd) {
-    case ReadEnd::HeaderTooLarge:
+    case ReadResult::HeaderTooLarge:
       return kHeaderTooLarge;
-    case ReadEnd::BodyTooLarge:
+    case ReadResult::BodyTooLarge:
       return kBodyTooLarge;
-    case ReadEnd::TooSlow:
+    case ReadResult::TimedOut:
       return kRequestTimeout;
     default:
       return kBadRequest;
@@ -86,7 +86,7 @@
 }
 
 // What the present copy says to a request.
-enum class Finding
+enum class LookupResult
 {
   Found,
   // The copy is too old to tell.
@@ -98,7 +98,7 @@
 class ForwardSession
 {
 public:
-  ForwardSession(ForwardServices& aServices, CallerLinkPtr aCaller)
+  ForwardSession(ForwardServices& aServices, CallerConnectionPtr aCaller)
     : m_services(aServices)
     , m_caller(std::move(aCaller))
   {
@@ -109,16 +109,16 @@
     for (;;) {
       const auto config = m_services.m_routing.SharedConfig();
       const CallerLimits limits = config ? config->Limits() : CallerLimits{};
-      const ReadEnd end = co_await m_caller->ReadRequest(limits);
-      if (end == ReadEnd::Closed) {
+      const ReadResult end = co_await m_caller->ReadRequest(limits);
+      if (end == ReadResult::Closed) {
         break;
       }
-      if (end != ReadEnd::Request) {
+      if (end != ReadResult::Request) {
         co_await AnswerReadFailure(StatusOf(end));
         break;
       }
       co_await Serve();
-      if (m_caller->Closes() || m_caller->IsGone()) {
+      if (m_caller->Closes() || m_caller->IsDisconnected()) {
         break;
       }
     }
@@ -142,7 +142,7 @@
     if (m_services.m_drain.Phase(request.m_arrival) != DrainPhase::Serving) {
       m_caller->CloseAfterAnswer();
     }
-    m_caller->WatchEnd([&request] {
+    m_caller->WatchForDisconnect([&request] {
       if (request.m_call) {
         request.m_call->Abort(CallEnd::CallerGone);
       }
@@ -155,7 +155,7 @@
       }
     }
     m_caller->StopWatching();
-    Record(request);
+    RecordOutcome(request);
   }
 
   // Finds route and account; answers itself and returns false where the
@@ -163,39 +163,40 @@
   asio::awaitable<bool> Prepare(ForwardedRequest& aRequest)
   {
     RoutingState& routing = m_services.m_routing;
-    aRequest.m_marks = m_services.m_dialect.ReadCaller(aRequest.Http());
+    aRequest.m_headers =
+      m_services.m_dialect.ParseCallerHeaders(aRequest.Http());
     aRequest.m_deadline =
       aRequest.m_arrival +
-      aRequest.m_marks.m_patience.value_or(kDefaultPatience);
+      aRequest.m_headers.m_timeout.value_or(kDefaultTimeout);
     // What is taken so late would be cut off at the end of the grace, and with
     // it the VM would stay longer than the balancer sends callers to it.
     if (m_services.m_drain.Phase(aRequest.m_arrival) == DrainPhase::Draining) {
       co_await Refuse(aRequest, RefusalCause::Stopping);
       co_return false;
     }
-    co_await WaitForControl(aRequest);
+    co_await WaitForConfiguration(aRequest);
     if (routing.Config() == nullptr) {
       co_await Refuse(aRequest, RefusalCause::NoConfiguration);
       co_return false;
     }
-    Finding finding = Find(aRequest);
-    if (finding == Finding::NoRoute || finding == Finding::UnknownKey) {
-      if (!co_await ConfirmCopy(aRequest)) {
+    LookupResult lookup = LookUpRequest(aRequest);
+    if (lookup == LookupResult::NoRoute || lookup == LookupResult::UnknownKey) {
+      if (!co_await ConfirmLocalView(aRequest)) {
         co_await Refuse(aRequest, RefusalCause::NoLease);
         co_return false;
       }
-      finding = Find(aRequest);
+      lookup = LookUpRequest(aRequest);
     }
-    switch (finding) {
-      case Finding::Found:
+    switch (lookup) {
+      case LookupResult::Found:
         break;
-      case Finding::NoLease:
+      case LookupResult::NoLease:
         co_await Refuse(aRequest, RefusalCause::NoLease);
         co_return false;
-      case Finding::NoRoute:
+      case LookupResult::NoRoute:
         co_await Fail(aRequest, kNotFound, "no route for this host and path");
         co_return false;
-      case Finding::UnknownKey:
+      case LookupResult::UnknownKey:
         co_await Fail(aRequest, kUnauthorized, "the key belongs to no account");
         co_return false;
     }
@@ -208,10 +209,10 @@
   // Pattern: all VMs start again at once, or the group elects a leader. The
   // copy comes within about a second; a caller who is sent away instead comes
   // back too early, or not at all.
-  asio::awaitable<void> WaitForControl(ForwardedRequest& aRequest)
+  asio::awaitable<void> WaitForConfiguration(ForwardedRequest& aRequest)
   {
     RoutingState& routing = m_services.m_routing;
-    const TimePoint patience =
+    const TimePoint waitLimit =
       aRequest.m_arrival + (aRequest.m_deadline - aRequest.m_arrival) / 3;
     asio::steady_timer timer(m_services.m_context);
     for (;;) {
@@ -220,17 +221,17 @@
       const bool isReady = routing.Config() != nullptr && routing.HasLease(now);
       // A VM that has been cut off for longer will be so for some time.
       const TimePoint until =
-        std::min(patience, routing.LeaseLostAt() + kControlWait);
-      if (isReady || now >= until || aRequest.m_caller->IsGone()) {
+        std::min(waitLimit, routing.LeaseLostAt() + kMaxConfigurationWait);
+      if (isReady || now >= until || aRequest.m_caller->IsDisconnected()) {
         co_return;
       }
-      timer.expires_after(kControlLook);
+      timer.expires_after(kConfigurationPollInterval);
       co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
   }
 
   // Looks the request up in the present copy.
-  Finding Find(ForwardedRequest& aRequest)
+  LookupResult LookUpRequest(ForwardedRequest& aRequest)
   {
     RoutingState& routing = m_services.m_routing;
     const bool hasLease = routing.HasLease(BootClock::now());
@@ -239,47 +240,47 @@
     aRequest.m_route = aRequest.m_config->FindRoute(ReadHost(aRequest.Http()),
                                                     PathOf(aRequest.Http()));
     if (aRequest.m_route == nullptr) {
-      return hasLease ? Finding::NoRoute : Finding::NoLease;
+      return hasLease ? LookupResult::NoRoute : LookupResult::NoLease;
     }
     if (!aRequest.m_config->HasAccounts()) {
-      return Finding::Found;
+      return LookupResult::Found;
     }
-    const std::string_view key = aRequest.m_marks.m_key;
+    const std::string_view key = aRequest.m_headers.m_apiKey;
     const bool mayBeAnonymous = aRequest.m_route->m_allowsAnonymous;
     // A key may have been taken away since the last confirmation.
     if (!hasLease && !mayBeAnonymous) {
-      return Finding::NoLease;
+      return LookupResult::NoLease;
     }
     if (!key.empty() && hasLease) {
       aRequest.m_account = aRequest.m_config->FindAccount(key);
     }
     return aRequest.m_account != nullptr || mayBeAnonymous
-             ? Finding::Found
-             : Finding::UnknownKey;
+             ? LookupResult::Found
+             : LookupResult::UnknownKey;
   }
 
   // Pattern: a VM whose feed has just broken goes on by its lease, and a
   // version that was accepted meanwhile adds a route or a key. The lease says
   // that nothing was taken away long ago; what is not there needs a quorum's
   // word.
-  asio::awaitable<bool> ConfirmCopy(ForwardedRequest& aRequest)
+  asio::awaitable<bool> ConfirmLocalView(ForwardedRequest& aRequest)
   {
     const TimePoint deadline =
-      BootClock::now() + std::min(kConfirmWait, aRequest.TimeLeft() / 3);
+      BootClock::now() + std::min(kMaxConfirmWait, aRequest.TimeLeft() / 3);
     const bool isConfirmed = co_await m_services.m_routing.Confirm(
       m_services.m_context, deadline, aRequest.m_detail);
     m_services.m_routing.Refresh(BootClock::now());
     co_return isConfirmed;
   }
 
-  void Record(const ForwardedRequest& aRequest)
+  void RecordOutcome(const ForwardedRequest& aRequest)
   {
     const RequestKind kind =
       aRequest.m_route ? aRequest.m_route->m_kind : RequestKind::Unsafe;
     m_services.m_metrics.Count(kind, aRequest.m_end);
     if (kind != RequestKind::Streaming &&
         aRequest.m_end == RequestEnd::Answered) {
-      m_services.m_metrics.RecordFirst(kind, aRequest.m_firstAnswerDelay);
+      m_services.m_metrics.RecordFirstAnswer(kind, aRequest.m_firstAnswerDelay);
     }
     // A refusal has had its line, with what decided it.
     if (aRequest.m_end == RequestEnd::Refused) {
@@ -290,7 +291,7 @@
                               aRequest.m_end != RequestEnd::Answered)) {
         aLine.Add("path", aRequest.m_path->Describe());
       }
-      aLine.Add("id", aRequest.m_marks.m_attemptId)
+      aLine.Add("id", aRequest.m_headers.m_attemptId)
         .Add("route", aRequest.m_route ? aRequest.m_route->m_name : "")
         .Add("kind", NameOf(kRequestKindNames, kind))
         .Add("account", aRequest.m_account ? aRequest.m_account->m_name : "")
@@ -316,13 +317,13 @@
   }
 
   ForwardServices& m_services;
-  CallerLinkPtr m_caller;
+  CallerConnectionPtr m_caller;
 };
 
 } // namespace
 
 asio::awaitable<void>
-RunForwardSession(ForwardServices& aServices, CallerLinkPtr aCaller)
+RunForwardSession(ForwardServices& aServices, CallerConnectionPtr aCaller)
 {
   ForwardSession session(aServices, std::move(aCaller));
   co_await session.Run();
--- a/Source/Forwarding/ForwardedRequest.cxx
+++ b/Source/Forwarding/ForwardedRequest.cxx
@@ -130,12 +130,12 @@
     ++aRequest.m_resumes;
     ++services.m_metrics.Resumes();
   } else {
-    ++services.m_metrics.Repeats();
+    ++services.m_metrics.Retries();
   }
   services.m_log.Write(
     aIsResumed ? DecisionEvent::StreamResumed : DecisionEvent::RequestSentAgain,
     [&](DecisionLine& aLine) {
-      aLine.Add("id", aRequest.m_marks.m_attemptId)
+      aLine.Add("id", aRequest.m_headers.m_attemptId)
         .Add("why", aRequest.m_lastFault)
         .Add("from", aFrom)
         .Add("to", aRequest.m_lastEndpoint)
@@ -154,7 +154,8 @@
 }
 
 std::string
-MakeForwardHeader(const ForwardedRequest& aRequest, const ForwardMarks& aMarks)
+MakeForwardHeader(const ForwardedRequest& aRequest,
+                  const ForwardHeaders& aHeaders)
 {
   const HttpRequest& request = aRequest.Http();
   const ForwardDialect& dialect = aRequest.m_services.m_dialect;
@@ -163,12 +164,12 @@
   out.append(request.target()).append(" HTTP/1.1\r\n");
   for (const auto& field : request) {
     const std::string_view name = field.name_string();
-    if (!IsHopByHop(field.name()) && !dialect.IsReplaced(name) &&
+    if (!IsHopByHop(field.name()) && !dialect.IsReplacedHeader(name) &&
         !IsNamedByConnection(request, name)) {
       AppendField(out, name, field.value());
     }
   }
-  dialect.WriteMarks(out, aMarks);
+  dialect.WriteForwardHeaders(out, aHeaders);
   const bool hasBody = !request.body().empty() ||
                        request.has_content_length() || request.chunked();
   if (hasBody) {
@@ -192,9 +193,9 @@
     out, aStatus, isEndpointStatus ? reason : std::string_view{});
   for (const auto& field : aAnswer) {
     const std::string_view name = field.name_string();
-    const bool isDropped = IsHopByHop(field.name()) ||
-                           IsNamedByConnection(aAnswer, name) ||
-                           (!isEndpointStatus && dialect.IsSignature(name));
+    const bool isDropped =
+      IsHopByHop(field.name()) || IsNamedByConnection(aAnswer, name) ||
+      (!isEndpointStatus && dialect.IsSignatureHeader(name));
     if (!isDropped) {
       AppendField(out, name, field.value());
     }
@@ -217,8 +218,8 @@
 {
   std::string out;
   AppendStatusLine(out, aStatus, {});
-  aRequest.m_services.m_dialect.WriteOwnMarks(out,
-                                              aRequest.m_marks.m_attemptId);
+  aRequest.m_services.m_dialect.WriteAnswerHeaders(
+    out, aRequest.m_headers.m_attemptId);
   if (aRetryAfter > Duration::zero()) {
     AppendField(out, "Retry-After", FormatSeconds(aRetryAfter));
   }
@@ -241,7 +242,7 @@
   aRequest.m_why = row.m_name;
   aRequest.m_services.m_log.Write(
     DecisionEvent::RequestRefused, [&](DecisionLine& aLine) {
-      aLine.Add("id", aRequest.m_marks.m_attemptId)
+      aLine.Add("id", aRequest.m_headers.m_attemptId)
         .Add("cause", row.m_name)
         .Add("route", aRequest.m_route ? aRequest.m_route->m_name : "")
         .Add("service", aRequest.m_service)
@@ -252,12 +253,13 @@
         aLine.Add("detail", aRequest.m_detail);
       }
       if (aCause == RefusalCause::PathsFull) {
-        const PathFill& utilization = aRequest.m_utilization;
+        const PathUtilization& utilization = aRequest.m_utilization;
         aLine
           .Add("fill_percent",
-               static_cast<std::int64_t>(utilization.m_part * 100))
+               static_cast<std::int64_t>(utilization.m_fraction * 100))
           .Add("tightest",
-               utilization.m_tightest ? utilization.m_tightest->m_id : "slots")
+               utilization.m_bottleneck ? utilization.m_bottleneck->m_id
+                                        : "slots")
           .Add("streams", static_cast<std::int64_t>(utilization.m_streams));
       }
       aLine.AddMs("after_ms", BootClock::now() - aRequest.m_arrival)
@@ -284,7 +286,7 @@
 StartCall(ForwardedRequest& aRequest,
           RunnerPtr aRunner,
           StagePathPtr aPath,
-          ForwardMarks aMarks,
+          ForwardHeaders aHeaders,
           Duration aConnectTimeout)
 {
   ForwardServices& services = aRequest.m_services;
@@ -293,9 +295,9 @@
     services.m_pool,
     aRunner,
     std::move(aPath),
-    CallInfo{ std::string(aRequest.m_marks.m_attemptId),
+    CallInfo{ std::string(aRequest.m_headers.m_attemptId),
               aRequest.m_expectedTokens,
-              aRequest.m_marks.m_promptTokens });
+              aRequest.m_headers.m_promptTokens });
   services.m_callDeadlines.Add(*call);
   aRequest.m_call = call;
   const std::string before =
@@ -304,24 +306,24 @@
   if (call->IsNewConnection()) {
     ++services.m_metrics.NewConnections();
   }
-  if (!connected || aRequest.m_caller->IsGone()) {
+  if (!connected || aRequest.m_caller->IsDisconnected()) {
     aRequest.m_lastFault = NameOfEnd(call->End());
     co_return nullptr;
   }
-  aMarks.m_runner = call->Target().get();
-  aMarks.m_path = call->Path().get();
-  aMarks.m_timeLeft = aRequest.TimeLeft();
-  if (aMarks.m_timeLeft <= Duration::zero()) {
+  aHeaders.m_runner = call->Target().get();
+  aHeaders.m_path = call->Path().get();
+  aHeaders.m_timeLeft = aRequest.TimeLeft();
+  if (aHeaders.m_timeLeft <= Duration::zero()) {
     call->Abort(CallEnd::NotConnected);
     aRequest.m_lastFault = NameOfEnd(call->End());
     co_return nullptr;
   }
   if (aRequest.m_account != nullptr) {
-    aMarks.m_account = aRequest.m_account->m_name;
+    aHeaders.m_account = aRequest.m_account->m_name;
   }
-  call->Send(MakeForwardHeader(aRequest, aMarks), aRequest.Http().body());
+  call->Send(MakeForwardHeader(aRequest, aHeaders), aRequest.Http().body());
   if (aRequest.m_attempts != 0) {
-    RecordRetry(aRequest, before, aMarks.m_isResumed);
+    RecordRetry(aRequest, before, aHeaders.m_isResumed);
   }
   aRequest.m_lastFault = {};
   co_return call;
--- a/Source/Forwarding/ForwardedRequest.h
+++ b/Source/Forwarding/ForwardedRequest.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "Forwarding/CallerLink.h"
+#include "Forwarding/CallerConnection.h"
 #include "Forwarding/EndpointCall.h"
 #include "Forwarding/ForwardServices.h"
 #include "Routing/RoutingConfig.h"
@@ -33,12 +33,12 @@
 struct ForwardedRequest
 {
   ForwardServices& m_services;
-  CallerLinkPtr m_caller;
+  CallerConnectionPtr m_caller;
   boost::intrusive_ptr<const RoutingConfig> m_config;
   const RouteRule* m_route = nullptr;
   const AccountRule* m_account = nullptr;
   std::string m_service;
-  CallerMarks m_marks;
+  CallerHeaders m_headers;
   TimePoint m_arrival;
   TimePoint m_deadline;
 
@@ -60,7 +60,7 @@
   StagePathPtr m_path;
   std::vector<std::string> m_excluded;
   // Utilization of the last path that was considered.
-  PathFill m_utilization;
+  PathUtilization m_utilization;
   // Tokens of a stream's prompt and expected answer; 0 for plain requests.
   std::uint32_t m_expectedTokens = 0;
   // The call in flight, which is aborted when the caller disconnects.
@@ -73,7 +73,8 @@
 
 // Returns the header of the request that is sent to an endpoint.
 std::string
-MakeForwardHeader(const ForwardedRequest& aRequest, const ForwardMarks& aMarks);
+MakeForwardHeader(const ForwardedRequest& aRequest,
+                  const ForwardHeaders& aHeaders);
 
 // Returns the header of an endpoint's answer for the caller, without the
 // signature if aStatus differs from the endpoint's status. A negative length
@@ -108,7 +109,7 @@
 StartCall(ForwardedRequest& aRequest,
           RunnerPtr aRunner,
           StagePathPtr aPath,
-          ForwardMarks aMarks,
+          ForwardHeaders aHeaders,
           Duration aConnectTimeout);
 
 std::string_view
--- a/Source/Forwarding/PlainForwarder.cxx
+++ b/Source/Forwarding/PlainForwarder.cxx
@@ -11,21 +11,21 @@
 constexpr Duration kWriteTimeout = std::chrono::seconds(5);
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(250);
 // A safe call that takes this many times the usual is given to another one.
-constexpr int kSilenceFactor = 5;
-constexpr Duration kMinSilence = std::chrono::milliseconds(45);
+constexpr int kRetryTimeoutFactor = 5;
+constexpr Duration kMinRetryTimeout = std::chrono::milliseconds(45);
 constexpr std::size_t kMaxConnectFailures = 3;
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kGatewayTimeout = 504;
 constexpr unsigned kFirstServerError = 500;
 // A new sample weighs this part in the usual time.
-constexpr int kUsualWeight = 8;
+constexpr int kLatencyAverageWeight = 8;
 
-enum class CallVerdict
+enum class ForwardOutcome
 {
   // The caller has its answer, or is gone.
-  Ended,
+  Finished,
   // Never ran: any request may go elsewhere.
-  NotRun,
+  NotExecuted,
   // May have run.
   Failed,
 };
@@ -45,7 +45,7 @@
   {
     m_serviceState.m_retries.RecordRequest(BootClock::now());
     for (;;) {
-      if (m_request.m_caller->IsGone()) {
+      if (m_request.m_caller->IsDisconnected()) {
         m_request.m_end = RequestEnd::CallerGone;
         co_return;
       }
@@ -53,18 +53,18 @@
         co_await EndWithoutAnswer(RefusalCause::OutOfTime);
         co_return;
       }
-      const RunnerPtr runner = Pick();
+      const RunnerPtr runner = PickEndpoint();
       if (!runner) {
         co_await EndWithoutAnswer(m_request.m_attempts + m_connectFailures == 0
                                     ? RefusalCause::NoEndpoint
                                     : RefusalCause::EndpointsRefuse);
         co_return;
       }
-      const CallVerdict verdict = co_await Try(runner);
-      if (verdict == CallVerdict::Ended) {
+      const ForwardOutcome outcome = co_await TryEndpoint(runner);
+      if (outcome == ForwardOutcome::Finished) {
         co_return;
       }
-      if (!MayTryAgain(verdict)) {
+      if (!MayRetry(outcome)) {
         co_await EndWithoutAnswer(RefusalCause::EndpointsRefuse);
         co_return;
       }
@@ -72,7 +72,7 @@
   }
 
 private:
-  RunnerPtr Pick()
+  RunnerPtr PickEndpoint()
   {
     PickRequest request;
     request.m_service = m_request.m_service;
@@ -81,34 +81,36 @@
     return m_services.m_routing.PickEndpoint(BootClock::now(), request);
   }
 
-  bool HasOther(const RunnerPtr& aRunner)
+  bool HasAlternative(const RunnerPtr& aRunner)
   {
     const RunnerTable* table = m_services.m_routing.Runners();
     const auto* all = table ? table->FindService(m_request.m_service) : nullptr;
     return all != nullptr &&
-           std::any_of(all->begin(), all->end(), [&](const RunnerPtr& aOther) {
-             return aOther->m_id != aRunner->m_id &&
-                    std::find(m_request.m_excluded.begin(),
-                              m_request.m_excluded.end(),
-                              aOther->m_id) == m_request.m_excluded.end();
-           });
+           std::any_of(
+             all->begin(), all->end(), [&](const RunnerPtr& aCandidate) {
+               return aCandidate->m_id != aRunner->m_id &&
+                      std::find(m_request.m_excluded.begin(),
+                                m_request.m_excluded.end(),
+                                aCandidate->m_id) == m_request.m_excluded.end();
+             });
   }
 
-  bool MayTryAgain(CallVerdict aVerdict)
+  bool MayRetry(ForwardOutcome aOutcome)
   {
     const bool kindAllows =
-      aVerdict == CallVerdict::NotRun || m_request.m_route->MayRepeat();
-    const bool countAllows = m_connectFailures < kMaxConnectFailures &&
-                             m_runs < m_request.m_route->m_maxAttempts;
+      aOutcome == ForwardOutcome::NotExecuted || m_request.m_route->CanRetry();
+    const bool countAllows =
+      m_connectFailures < kMaxConnectFailures &&
+      m_possibleExecutions < m_request.m_route->m_maxAttempts;
     // Where no byte has left, the first sending is still to come.
-    const bool isRepeat = m_request.m_attempts > 0;
-    return kindAllows && countAllows && !m_request.m_caller->IsGone() &&
-           (!isRepeat ||
+    const bool isRetry = m_request.m_attempts > 0;
+    return kindAllows && countAllows && !m_request.m_caller->IsDisconnected() &&
+           (!isRetry ||
             m_serviceState.m_retries.Spend(
               BootClock::now(), m_services.m_routing.GatewayCount()));
   }
 
-  asio::awaitable<CallVerdict> Try(RunnerPtr aRunner)
+  asio::awaitable<ForwardOutcome> TryEndpoint(RunnerPtr aRunner)
   {
     m_request.m_excluded.push_back(aRunner->m_id);
     const TimePoint startedAt = BootClock::now();
@@ -120,72 +122,77 @@
       std::min<Duration>(kConnectTimeout, m_request.TimeLeft() / 2));
     if (!call) {
       ++m_connectFailures;
-      NoteFailure(*aRunner, "not_connected");
-      co_return CallVerdict::NotRun;
+      RecordCallFailure(*aRunner, "not_connected");
+      co_return ForwardOutcome::NotExecuted;
     }
     ++m_request.m_attempts;
-    ++m_runs;
+    ++m_possibleExecutions;
     call->SetDeadline(ChooseDeadline(aRunner));
-    const CallVerdict verdict = co_await Receive(*call);
+    const ForwardOutcome outcome = co_await Receive(*call);
     m_request.m_call = nullptr;
     const TimePoint now = BootClock::now();
     call->Release(now);
-    if (verdict == CallVerdict::Ended &&
+    if (outcome == ForwardOutcome::Finished &&
         m_request.m_end == RequestEnd::Answered) {
-      FollowCircuit(*aRunner, "it answered a request", [&](TimePoint aNow) {
-        aRunner->m_load->Clear(aNow);
+      UpdateCircuit(*aRunner, "it answered a request", [&](TimePoint aNow) {
+        aRunner->m_load->CloseCircuit(aNow);
       });
       m_serviceState.m_averageLatency +=
-        (now - startedAt - m_serviceState.m_averageLatency) / kUsualWeight;
+        (now - startedAt - m_serviceState.m_averageLatency) /
+        kLatencyAverageWeight;
     }
-    co_return verdict;
+    co_return outcome;
   }
 
   TimePoint ChooseDeadline(const RunnerPtr& aRunner)
   {
-    const bool mayMove = m_request.m_route->MayRepeat() &&
-                         m_runs < m_request.m_route->m_maxAttempts &&
-                         HasOther(aRunner);
-    if (!mayMove) {
+    const bool mayRetry =
+      m_request.m_route->CanRetry() &&
+      m_possibleExecutions < m_request.m_route->m_maxAttempts &&
+      HasAlternative(aRunner);
+    if (!mayRetry) {
       return m_request.m_deadline;
     }
-    const Duration silence = std::max<Duration>(
-      kMinSilence, m_serviceState.m_averageLatency * kSilenceFactor);
-    return std::min(m_request.m_deadline, BootClock::now() + silence);
+    const Duration retryTimeout = std::max<Duration>(
+      kMinRetryTimeout, m_serviceState.m_averageLatency * kRetryTimeoutFactor);
+    return std::min(m_request.m_deadline, BootClock::now() + retryTimeout);
   }
 
-  asio::awaitable<CallVerdict> Receive(EndpointCall& aCall)
+  asio::awaitable<ForwardOutcome> Receive(EndpointCall& aCall)
   {
     std::string body;
-    if (!co_await ReadOwnAnswer(aCall, body)) {
-      co_return co_await NoteBroken(aCall);
+    if (!co_await ReadMatchingAnswer(aCall, body)) {
+      co_return co_await RecordBrokenCall(aCall);
     }
     const EndpointCall::Header& answer = aCall.Answer();
     const unsigned status = answer.result_int();
-    const AnswerMarks marks = m_services.m_dialect.ReadAnswer(status, answer);
-    NoteLoad(*aCall.Target(), marks);
-    if (marks.m_isNotRun) {
-      --m_runs;
+    const AnswerHeaders headers =
+      m_services.m_dialect.ParseAnswerHeaders(status, answer);
+    RecordLoad(*aCall.Target(), headers);
+    if (headers.m_isNotExecuted) {
+      --m_possibleExecutions;
       m_request.m_lastFault = "endpoint_refused";
-      co_return CallVerdict::NotRun;
+      co_return ForwardOutcome::NotExecuted;
     }
     const bool isFailure = status >= kFirstServerError;
     if (isFailure && m_request.m_route->m_kind == RequestKind::Safe &&
-        m_runs < m_request.m_route->m_maxAttempts && HasOther(aCall.Target()) &&
-        m_serviceState.m_retries.Left(
+        m_possibleExecutions < m_request.m_route->m_maxAttempts &&
+        HasAlternative(aCall.Target()) &&
+        m_serviceState.m_retries.Remaining(
           BootClock::now(), m_services.m_routing.GatewayCount()) >= 1) {
       m_request.m_lastFault = "endpoint_failed";
-      co_return CallVerdict::Failed;
+      co_return ForwardOutcome::Failed;
     }
-    co_await Deliver(aCall, marks, std::move(body));
-    co_return CallVerdict::Ended;
+    co_await DeliverAnswer(aCall, headers, std::move(body));
+    co_return ForwardOutcome::Finished;
   }
 
   // Reads a whole answer, passing over answers to other requests.
-  asio::awaitable<bool> ReadOwnAnswer(EndpointCall& aCall, std::string& aBody)
+  asio::awaitable<bool> ReadMatchingAnswer(EndpointCall& aCall,
+                                           std::string& aBody)
   {
-    constexpr int kMostForeign = 2;
-    for (int i = 0; i <= kMostForeign; ++i) {
+    constexpr int kMaxForeignAnswers = 2;
+    for (int i = 0; i <= kMaxForeignAnswers; ++i) {
       aBody.clear();
       if (!co_await aCall.ReadHeader()) {
         co_return false;
@@ -199,7 +206,7 @@
       if (aCall.End() != CallEnd::None) {
         co_return false;
       }
-      if (!IsForeign(aCall)) {
+      if (!IsForeignAnswer(aCall)) {
         co_return true;
       }
       aCall.SkipAnswer();
@@ -208,27 +215,27 @@
     co_return false;
   }
 
-  bool IsForeign(const EndpointCall& aCall) const
+  bool IsForeignAnswer(const EndpointCall& aCall) const
   {
     const EndpointCall::Header& answer = aCall.Answer();
-    const AnswerMarks marks =
-      m_services.m_dialect.ReadAnswer(answer.result_int(), answer);
-    if (marks.m_attemptId.empty()) {
+    const AnswerHeaders headers =
+      m_services.m_dialect.ParseAnswerHeaders(answer.result_int(), answer);
+    if (headers.m_attemptId.empty()) {
       return answer.result_int() < kFirstClientError;
     }
-    return marks.m_attemptId != m_request.m_marks.m_attemptId;
+    return headers.m_attemptId != m_request.m_headers.m_attemptId;
   }
 
-  asio::awaitable<void> Deliver(EndpointCall& aCall,
-                                const AnswerMarks& aMarks,
-                                std::string aBody)
+  asio::awaitable<void> DeliverAnswer(EndpointCall& aCall,
+                                      const AnswerHeaders& aHeaders,
+                                      std::string aBody)
   {
     const EndpointCall::Header& answer = aCall.Answer();
     unsigned status = answer.result_int();
     const bool isSuccess = status < kFirstClientError;
     // The endpoint may have run it: no promise may be passed on.
-    if (m_services.m_dialect.IsPromise(status) ||
-        (isSuccess && !aMarks.m_isSigned)) {
+    if (m_services.m_dialect.IsNotExecutedStatus(status) ||
+        (isSuccess && !aHeaders.m_isSigned)) {
       status = kBadGateway;
     }
     m_request.m_status = status;
@@ -252,51 +259,52 @@
     }
   }
 
-  asio::awaitable<CallVerdict> NoteBroken(EndpointCall& aCall)
+  asio::awaitable<ForwardOutcome> RecordBrokenCall(EndpointCall& aCall)
   {
     const CallEnd end = aCall.End();
     if (end == CallEnd::CallerGone) {
       m_request.m_end = RequestEnd::CallerGone;
-      co_return CallVerdict::Ended;
+      co_return ForwardOutcome::Finished;
     }
     m_lastEnd = end;
     m_request.m_lastFault = NameOfEnd(end);
     if (end == CallEnd::Overdue) {
-      FollowCircuit(*aCall.Target(), NameOfEnd(end), [&](TimePoint aNow) {
-        aCall.Target()->m_load->RecordSilence(aNow, aCall.SentAt());
+      UpdateCircuit(*aCall.Target(), NameOfEnd(end), [&](TimePoint aNow) {
+        aCall.Target()->m_load->RecordTimeout(aNow, aCall.SentAt());
       });
       m_services.m_pool.Drop(*aCall.Target());
     } else {
-      NoteFailure(*aCall.Target(), NameOfEnd(end));
+      RecordCallFailure(*aCall.Target(), NameOfEnd(end));
     }
-    co_return CallVerdict::Failed;
+    co_return ForwardOutcome::Failed;
   }
 
-  void NoteLoad(const Runner& aRunner, const AnswerMarks& aMarks)
+  void RecordLoad(const Runner& aRunner, const AnswerHeaders& aHeaders)
   {
-    if (aMarks.m_load) {
-      aRunner.m_load->RecordReport(
-        BootClock::now(), aMarks.m_load->m_waiting, aMarks.m_load->m_running);
+    if (aHeaders.m_load) {
+      aRunner.m_load->RecordReport(BootClock::now(),
+                                   aHeaders.m_load->m_waiting,
+                                   aHeaders.m_load->m_running);
     }
   }
 
-  void NoteFailure(const Runner& aRunner, std::string_view aWhy)
+  void RecordCallFailure(const Runner& aRunner, std::string_view aWhy)
   {
-    FollowCircuit(aRunner, aWhy, [&](TimePoint aNow) {
+    UpdateCircuit(aRunner, aWhy, [&](TimePoint aNow) {
       aRunner.m_load->RecordFailure(aNow);
     });
   }
 
   // Tells the log when aChange opens or closes the endpoint's circuit.
   template<typename Change>
-  void FollowCircuit(const Runner& aRunner,
+  void UpdateCircuit(const Runner& aRunner,
                      std::string_view aWhy,
                      Change aChange)
   {
     const TimePoint now = BootClock::now();
-    const bool wasOk = aRunner.m_load->Circuit(now) == CircuitState::Ok;
+    const bool wasOk = aRunner.m_load->Circuit(now) == CircuitState::Closed;
     aChange(now);
-    const bool isOk = aRunner.m_load->Circuit(now) == CircuitState::Ok;
+    const bool isOk = aRunner.m_load->Circuit(now) == CircuitState::Closed;
     if (isOk == wasOk) {
       return;
     }
@@ -305,18 +313,18 @@
                            [&](DecisionLine& aLine) {
                              aLine.Add("endpoint", aRunner.m_id)
                                .Add("why", aWhy)
-                               .Add("id", m_request.m_marks.m_attemptId);
+                               .Add("id", m_request.m_headers.m_attemptId);
                            });
   }
 
   // The promise of a refusal is given only if nothing can have run.
   asio::awaitable<void> EndWithoutAnswer(RefusalCause aCause)
   {
-    if (m_request.m_caller->IsGone()) {
+    if (m_request.m_caller->IsDisconnected()) {
       m_request.m_end = RequestEnd::CallerGone;
       co_return;
     }
-    if (m_runs == 0) {
+    if (m_possibleExecutions == 0) {
       co_await Refuse(m_request, aCause);
       co_return;
     }
@@ -334,7 +342,7 @@
   ForwardServices& m_services;
   ServiceRoutingState& m_serviceState;
   // Sendings that no endpoint has shown to be without effect.
-  std::uint32_t m_runs = 0;
+  std::uint32_t m_possibleExecutions = 0;
   std::size_t m_connectFailures = 0;
   CallEnd m_lastEnd = CallEnd::None;
 };
--- a/Source/Forwarding/RoutingState.h
+++ b/Source/Forwarding/RoutingState.h
@@ -9,7 +9,7 @@
 
 #include "Base/Clock.h"
 #include "Forwarding/ForwardOptions.h"
-#include "Routing/PathBook.h"
+#include "Routing/PathSelector.h"
 #include "Routing/RoutingConfig.h"
 #include "Routing/RunnerTable.h"
 #include "Routing/ServicePicker.h"
@@ -31,7 +31,7 @@
   {
   }
 
-  PathBook m_paths;
+  PathSelector m_paths;
   WindowedBudget m_retries;
   // Moving average of the latency of successful plain calls.
   Duration m_averageLatency = std::chrono::milliseconds(20);
--- a/Source/Forwarding/StreamAttempt.cxx
+++ b/Source/Forwarding/StreamAttempt.cxx
@@ -45,18 +45,18 @@
 StreamForwarder::RunAttempt(StagePathPtr aPath)
 {
   const RunnerPtr first = aPath->m_stages.front().m_runner;
-  ForwardMarks marks;
-  marks.m_lastEventId = m_events.LastId();
-  marks.m_isResumed = m_hasSentHeader;
+  ForwardHeaders headers;
+  headers.m_lastEventId = m_events.LastId();
+  headers.m_isResumed = m_hasSentHeader;
   const EndpointCallPtr call = co_await StartCall(
     m_request,
     first,
     aPath,
-    marks,
+    headers,
     std::min<Duration>(kConnectTimeout, m_request.TimeLeft() / 2));
   if (!call) {
     m_request.m_excluded.push_back(first->m_id);
-    if (!m_request.m_caller->IsGone()) {
+    if (!m_request.m_caller->IsDisconnected()) {
       ReportUnreachable(first);
     }
     co_return AttemptOutcome::NotExecuted;
@@ -103,29 +103,32 @@
   }
   const EndpointCall::Header& answer = aCall.Answer();
   const unsigned status = answer.result_int();
-  const AnswerMarks marks = m_services.m_dialect.ReadAnswer(status, answer);
-  const bool isForeign = marks.m_attemptId.empty()
-                           ? status < kFirstClientError
-                           : marks.m_attemptId != m_request.m_marks.m_attemptId;
+  const AnswerHeaders headers =
+    m_services.m_dialect.ParseAnswerHeaders(status, answer);
+  const bool isForeign =
+    headers.m_attemptId.empty()
+      ? status < kFirstClientError
+      : headers.m_attemptId != m_request.m_headers.m_attemptId;
   if (isForeign) {
     aCall.Abort(CallEnd::Foreign);
     co_return RecordBrokenCall(aCall);
   }
-  if (marks.m_load) {
+  if (headers.m_load) {
     aCall.Target()->m_load->RecordReport(
-      BootClock::now(), marks.m_load->m_waiting, marks.m_load->m_running);
+      BootClock::now(), headers.m_load->m_waiting, headers.m_load->m_running);
   }
-  if (marks.m_isNotRun) {
-    co_return HandleRefusal(aCall, marks);
+  if (headers.m_isNotExecuted) {
+    co_return HandleRefusal(aCall, headers);
   }
-  if (status >= kFirstClientError || !marks.m_isSigned) {
+  if (status >= kFirstClientError || !headers.m_isSigned) {
     co_return co_await HandleErrorAnswer(aCall);
   }
   co_return co_await RelayEvents(aCall);
 }
 
 AttemptOutcome
-StreamForwarder::HandleRefusal(EndpointCall& aCall, const AnswerMarks& aMarks)
+StreamForwarder::HandleRefusal(EndpointCall& aCall,
+                               const AnswerHeaders& aHeaders)
 {
   --m_possibleExecutions;
   const TimePoint now = BootClock::now();
@@ -133,12 +136,13 @@
   // memory. Only a failure affects the streams that the engine already serves,
   // so the engine is probed and not reported as failed.
   RunnerPtr faulty =
-    m_services.m_failureDetector.FindByAddress(aMarks.m_faultAddress);
+    m_services.m_failureDetector.FindByAddress(aHeaders.m_faultAddress);
   if (!faulty) {
     faulty = aCall.Target();
   }
-  const bool isMoved = aMarks.m_isOtherEndpoint;
-  faulty->m_load->Shun(now, isMoved ? kMovedStageEjection : kRefusalEjection);
+  const bool isMoved = aHeaders.m_isMisdirected;
+  faulty->m_load->EjectFor(now,
+                           isMoved ? kMovedStageEjection : kRefusalEjection);
   m_serviceState.m_paths.Invalidate();
   m_services.m_failureDetector.ReportUnresponsive(now, faulty);
   m_request.m_excluded.push_back(faulty->m_id);
@@ -161,8 +165,8 @@
     m_request.m_lastFault = "endpoint_failed";
     co_return AttemptOutcome::Broken;
   }
-  const bool isRelayed =
-    status >= kFirstClientError && !m_services.m_dialect.IsPromise(status);
+  const bool isRelayed = status >= kFirstClientError &&
+                         !m_services.m_dialect.IsNotExecutedStatus(status);
   m_request.m_status = isRelayed ? status : kBadGateway;
   m_request.m_end = RequestEnd::Failed;
   m_request.m_why = "the endpoint answered " + std::to_string(status);
@@ -224,13 +228,13 @@
   if (!m_hasSentHeader) {
     m_hasSentHeader = true;
     m_request.m_firstAnswerDelay = now - m_request.m_arrival;
-    m_services.m_metrics.RecordFirst(m_request.m_route->m_kind,
-                                     m_request.m_firstAnswerDelay);
+    m_services.m_metrics.RecordFirstAnswer(m_request.m_route->m_kind,
+                                           m_request.m_firstAnswerDelay);
     out = MakeAnswerHeader(m_request, m_request.m_status, aCall.Answer(), -1);
   } else {
     m_request.m_longestGap =
       std::max(m_request.m_longestGap, now - m_lastEventAt);
-    m_services.m_metrics.RecordGap(now - m_lastEventAt);
+    m_services.m_metrics.RecordEventGap(now - m_lastEventAt);
   }
   m_lastEventAt = now;
   AppendChunk(out, events);
@@ -246,7 +250,7 @@
 StreamForwarder::RecordProgress(const EndpointCall& aCall)
 {
   for (const PathStage& stage : aCall.Path()->m_stages) {
-    stage.m_runner->m_load->NoteAnswer(aCall.ProgressAt());
+    stage.m_runner->m_load->RecordAnswer(aCall.ProgressAt());
   }
 }
 
--- a/Source/Forwarding/StreamForwarder.cxx
+++ b/Source/Forwarding/StreamForwarder.cxx
@@ -28,12 +28,12 @@
 constexpr Duration kResumePollInterval = std::chrono::milliseconds(60);
 
 std::uint32_t
-CountExpectedTokens(const CallerMarks& aMarks)
+CountExpectedTokens(const CallerHeaders& aHeaders)
 {
-  const std::uint32_t answer = aMarks.m_expectedAnswerTokens != 0
-                                 ? aMarks.m_expectedAnswerTokens
-                                 : aMarks.m_maxAnswerTokens / 2;
-  return aMarks.m_promptTokens + answer;
+  const std::uint32_t answer = aHeaders.m_expectedAnswerTokens != 0
+                                 ? aHeaders.m_expectedAnswerTokens
+                                 : aHeaders.m_maxAnswerTokens / 2;
+  return aHeaders.m_promptTokens + answer;
 }
 
 } // namespace
@@ -43,9 +43,9 @@
   , m_services(aRequest.m_services)
   , m_serviceState(
       aRequest.m_services.m_routing.ServiceState(aRequest.m_service))
-  , m_events(aRequest.m_marks.m_lastEventId)
+  , m_events(aRequest.m_headers.m_lastEventId)
 {
-  m_request.m_expectedTokens = CountExpectedTokens(m_request.m_marks);
+  m_request.m_expectedTokens = CountExpectedTokens(m_request.m_headers);
 }
 
 asio::awaitable<void>
@@ -53,7 +53,7 @@
 {
   m_serviceState.m_retries.RecordRequest(BootClock::now());
   for (;;) {
-    if (m_request.m_caller->IsGone()) {
+    if (m_request.m_caller->IsDisconnected()) {
       m_request.m_end = RequestEnd::CallerGone;
       co_return;
     }
@@ -86,10 +86,10 @@
 {
   PathRequest request;
   request.m_tokens = m_request.m_expectedTokens;
-  request.m_promptTokens = m_request.m_marks.m_promptTokens;
+  request.m_promptTokens = m_request.m_headers.m_promptTokens;
   request.m_gapTarget = m_request.m_route->m_gapTarget;
-  request.m_resumeSeed =
-    m_hasSentHeader ? HashId(m_request.m_marks.m_attemptId) : 0;
+  request.m_restartSeed =
+    m_hasSentHeader ? HashId(m_request.m_headers.m_attemptId) : 0;
   request.m_gateways = m_services.m_routing.GatewayCount();
   request.m_excluded = m_request.m_excluded;
   const TimePoint now = BootClock::now();
@@ -137,7 +137,7 @@
          !m_request.IsOutOfTime()) {
     timer.expires_after(kResumePollInterval);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    if (m_request.m_caller->IsGone()) {
+    if (m_request.m_caller->IsDisconnected()) {
       co_return true; // Run() handles the disconnect
     }
     m_request.m_excluded.clear();
@@ -160,7 +160,7 @@
        m_possibleExecutions >= kMaxExecutions)) {
     return false;
   }
-  if (m_request.m_caller->IsGone()) {
+  if (m_request.m_caller->IsDisconnected()) {
     return true; // Run() handles the disconnect
   }
   return m_request.m_attempts == 0 || std::exchange(m_hasRetryClaim, false) ||
@@ -173,7 +173,7 @@
 {
   const bool mayMove = m_request.m_route->m_isResumable &&
                        m_possibleExecutions < kMaxExecutions &&
-                       !m_request.m_caller->IsGone() &&
+                       !m_request.m_caller->IsDisconnected() &&
                        !m_request.IsOutOfTime() && ChoosePath().m_path;
   m_hasRetryClaim =
     mayMove && (m_hasRetryClaim ||
@@ -193,7 +193,7 @@
 asio::awaitable<void>
 StreamForwarder::GiveUp(RefusalCause aCause)
 {
-  if (m_request.m_caller->IsGone()) {
+  if (m_request.m_caller->IsDisconnected()) {
     m_request.m_end = RequestEnd::CallerGone;
     co_return;
   }
--- a/Source/Forwarding/StreamForwarder.h
+++ b/Source/Forwarding/StreamForwarder.h
@@ -55,7 +55,8 @@
   asio::awaitable<AttemptOutcome> RunAttempt(StagePathPtr aPath);
   void ReportUnreachable(const RunnerPtr& aFirst);
   asio::awaitable<AttemptOutcome> Receive(EndpointCall& aCall);
-  AttemptOutcome HandleRefusal(EndpointCall& aCall, const AnswerMarks& aMarks);
+  AttemptOutcome HandleRefusal(EndpointCall& aCall,
+                               const AnswerHeaders& aHeaders);
   asio::awaitable<AttemptOutcome> HandleErrorAnswer(EndpointCall& aCall);
   asio::awaitable<AttemptOutcome> RelayEvents(EndpointCall& aCall);
   // Returns false if the caller has disconnected.
--- a/Source/Forwarding/StreamRerouter.cxx
+++ b/Source/Forwarding/StreamRerouter.cxx
@@ -121,10 +121,10 @@
 
 StagePathPtr
 StreamRerouter::FindPath(const EndpointCall& aStream,
-                         const RepairRequest& aRequest)
+                         const RerouteRequest& aRequest)
 {
   return m_routing->ServiceState(aStream.Target()->m_service)
-    .m_paths.Repair(BootClock::now(), *aStream.Path(), aRequest);
+    .m_paths.Reroute(BootClock::now(), *aStream.Path(), aRequest);
 }
 
 asio::awaitable<void>
@@ -135,7 +135,7 @@
   for (int i = 0; i < kMaxOrders && aTask.m_path; ++i) {
     const CallResult result = co_await m_client.Call(
       stream.Target()->m_address,
-      m_dialect.MakeReroute(stream.AttemptId(), *aTask.m_path),
+      m_dialect.MakeRerouteOrder(stream.AttemptId(), *aTask.m_path),
       kOrderTimeout,
       ConnectionChoice::Kept);
     if (stream.End() != CallEnd::None) {
@@ -144,9 +144,9 @@
     if (!result.m_response) {
       break;
     }
-    const RerouteAnswer answer = m_dialect.ReadReroute(
+    const RerouteAnswer answer = m_dialect.ParseRerouteAnswer(
       result.m_response->result_int(), result.m_response->body());
-    if (answer.m_isTaken) {
+    if (answer.m_isAccepted) {
       stream.SetPath(aTask.m_path);
       stream.SetRerouting(false);
       RecordOutcome(stream, "taken", aTask.m_startedAt);
@@ -168,7 +168,7 @@
   const TimePoint now = BootClock::now();
   const bool hasFailedStage =
     std::any_of(stages.begin(), stages.end(), [now](const PathStage& aStage) {
-      return aStage.m_runner->m_load->Circuit(now) != CircuitState::Ok;
+      return aStage.m_runner->m_load->Circuit(now) != CircuitState::Closed;
     });
   if (hasFailedStage) {
     Restart(stream);
@@ -206,13 +206,14 @@
 StreamRerouter::ShouldRestart(const RerouteTask& aTask) const
 {
   const EndpointCall& stream = *aTask.m_stream;
-  const RepairLoad load = m_routing->ServiceState(stream.Target()->m_service)
-                            .m_paths.WeighRepair(BootClock::now(),
-                                                 *stream.Path(),
-                                                 *aTask.m_path,
-                                                 stream.ExpectedTokens());
+  const RerouteLoad load =
+    m_routing->ServiceState(stream.Target()->m_service)
+      .m_paths.EstimateRerouteLoad(BootClock::now(),
+                                   *stream.Path(),
+                                   *aTask.m_path,
+                                   stream.ExpectedTokens());
   Random draw(aTask.m_request.m_seed);
-  return draw.Fraction() > ShareToLeadRound(load);
+  return draw.Fraction() > ComputeRerouteShare(load);
 }
 
 bool
--- a/Source/Forwarding/StreamRerouter.h
+++ b/Source/Forwarding/StreamRerouter.h
@@ -51,7 +51,7 @@
   {
     EndpointCallPtr m_stream;
     StagePathPtr m_path;
-    RepairRequest m_request;
+    RerouteRequest m_request;
     TimePoint m_startedAt;
 
     // Returns true if the new path has no more zone crossings than the old one.
@@ -66,7 +66,7 @@
 
   RerouteTask MakeTask(const EndpointCallPtr& aStream) const;
   StagePathPtr FindPath(const EndpointCall& aStream,
-                        const RepairRequest& aRequest);
+                        const RerouteRequest& aRequest);
   void Enqueue(RerouteTask aTask);
   // Sends the orders of one queue, one after the other.
   asio::awaitable<void> RunWorker(std::string aFirstAddress);
--- a/Tests/Forwarding/StreamForwardTest.cxx
+++ b/Tests/Forwarding/StreamForwardTest.cxx
@@ -23,7 +23,7 @@
     m_fixture->PutConfig();
     m_first = &m_fixture->AddEngine(0, 4);
     m_other = &m_fixture->AddEngine(0, 4);
-    auto script = WithState([this, aBroken](const HttpRequest& aRequest) {
+    auto script = WithEngineState([this, aBroken](const HttpRequest& aRequest) {
       return ++m_calls == 1 ? aBroken(aRequest) : StreamAll(aRequest);
     });
     m_first->SetScript(script);
@@ -44,8 +44,8 @@
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 2);
   m_other = &m_fixture->AddEngine(2, 4);
-  m_first->SetScript(WithState(StreamAll));
-  m_other->SetScript(WithState(StreamAll));
+  m_first->SetScript(WithEngineState(StreamAll));
+  m_other->SetScript(WithEngineState(StreamAll));
   m_fixture->Start();
   CheckAllEventsOnce(Ask("/stream/x"));
   CHECK_EQUAL(1U, m_first->Requests().size());
@@ -89,7 +89,7 @@
 {
   StartTwo([](const HttpRequest& aRequest) {
     return std::vector<StubStep>{
-      Send(MakeStreamHead(AttemptOf(aRequest))),
+      Send(MakeStreamHead(AttemptIdOf(aRequest))),
       Send(MakeEvent(1)),
       Send("5\r\nid: 2\r\n"),
       Send(MakeStreamEnd()),
@@ -101,7 +101,7 @@
 TEST(StreamForward, AMissingEventIsFetchedAndNotPassedOver)
 {
   StartTwo([](const HttpRequest& aRequest) {
-    return std::vector<StubStep>{ Send(MakeStreamHead(AttemptOf(aRequest))),
+    return std::vector<StubStep>{ Send(MakeStreamHead(AttemptIdOf(aRequest))),
                                   Send(MakeEvent(1)),
                                   Pause(std::chrono::milliseconds(50)),
                                   Send(MakeEvent(3)),
@@ -114,7 +114,7 @@
 TEST(StreamForward, AMissingEventEndsAStreamThatMayNotBeResumed)
 {
   StartTwo([](const HttpRequest& aRequest) {
-    return std::vector<StubStep>{ Send(MakeStreamHead(AttemptOf(aRequest))),
+    return std::vector<StubStep>{ Send(MakeStreamHead(AttemptIdOf(aRequest))),
                                   Send(MakeEvent(1)),
                                   Send(MakeEvent(3)),
                                   Send(MakeStreamEnd()) };
@@ -131,9 +131,9 @@
   m_first = &m_fixture->AddEngine(0, 2);
   m_other = &m_fixture->AddEngine(2, 4);
   StubEndpoint& spare = m_fixture->AddEngine(2, 4);
-  spare.SetScript(WithState(StreamAll));
-  m_other->SetScript(WithState(StreamAll));
-  m_first->SetScript(WithState([&](const HttpRequest& aRequest) {
+  spare.SetScript(WithEngineState(StreamAll));
+  m_other->SetScript(WithEngineState(StreamAll));
+  m_first->SetScript(WithEngineState([&](const HttpRequest& aRequest) {
     if (++m_calls > 1) {
       return StreamAll(aRequest);
     }
@@ -143,7 +143,7 @@
     const std::string second =
       path.substr(comma + 1, path.find('=', comma) - comma - 1);
     return std::vector<StubStep>{ Send(
-      MakeAnswer(AttemptOf(aRequest),
+      MakeAnswer(AttemptIdOf(aRequest),
                  503,
                  "",
                  "Not-Executed: 1\r\nAt-Server: " + second + "\r\n")) };
@@ -158,7 +158,7 @@
 TEST(StreamForward, AStreamWhoseEnginesAnswerIsNotEndedForItsSilence)
 {
   StartTwo([](const HttpRequest& aRequest) {
-    return std::vector<StubStep>{ Send(MakeStreamHead(AttemptOf(aRequest))),
+    return std::vector<StubStep>{ Send(MakeStreamHead(AttemptIdOf(aRequest))),
                                   Send(MakeEvent(1)),
                                   Pause(std::chrono::milliseconds(400)),
                                   Send(MakeEvent(2) + MakeEvent(3)),
@@ -173,7 +173,7 @@
 {
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 4);
-  m_first->SetScript(WithState(StreamAll));
+  m_first->SetScript(WithEngineState(StreamAll));
   m_fixture->Start();
   const std::string answer = m_fixture->Ask(
     "POST", "/stream/x", kStreamHeader + "Last-Event-Id: 3\r\n", "prompt");
@@ -199,7 +199,7 @@
 {
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 2);
-  m_first->SetScript(WithState(StreamAll));
+  m_first->SetScript(WithEngineState(StreamAll));
   m_fixture->Start();
   const std::string answer = Ask("/stream/x");
   CHECK_EQUAL(503, StatusOf(answer));
@@ -211,14 +211,14 @@
 {
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 2);
-  m_first->SetScript(WithState(StreamAll));
+  m_first->SetScript(WithEngineState(StreamAll));
   m_fixture->Start();
   const auto caller = m_fixture->Connect();
   caller->Send(MakeRequest(
     "POST", "/stream/x", kStreamHeader + "Connection: close\r\n", "prompt"));
   m_fixture->RunUntil([polls = 0]() mutable { return ++polls > 8; });
   m_other = &m_fixture->AddEngine(2, 4);
-  m_other->SetScript(WithState(StreamAll));
+  m_other->SetScript(WithEngineState(StreamAll));
   CHECK(m_fixture->RunUntil([&] { return caller->IsClosed(); }));
   CheckAllEventsOnce(caller->Received());
 }
--- a/Tests/Forwarding/StreamRerouteTest.cxx
+++ b/Tests/Forwarding/StreamRerouteTest.cxx
@@ -29,8 +29,8 @@
     m_first = &m_fixture->AddEngine(0, 2);
     m_other = &m_fixture->AddEngine(2, 4);
     m_spare = &m_fixture->AddEngine(2, 4);
-    m_other->SetScript(WithState(StreamAll));
-    m_spare->SetScript(WithState(StreamAll));
+    m_other->SetScript(WithEngineState(StreamAll));
+    m_spare->SetScript(WithEngineState(StreamAll));
     m_fixture->Start();
   }
   bool UsesOther(const HttpRequest& aRequest) const
@@ -56,10 +56,10 @@
         return std::vector<StubStep>{ Send(
           "HTTP/1.1 " + aStatus + "\r\nContent-Length: 0\r\n\r\n") };
       }
-      return WithState([this, aOnStream](const HttpRequest& aStream) {
+      return WithEngineState([this, aOnStream](const HttpRequest& aStream) {
         ++m_calls;
         aOnStream(aStream);
-        return std::vector<StubStep>{ Send(MakeStreamHead(AttemptOf(aStream))),
+        return std::vector<StubStep>{ Send(MakeStreamHead(AttemptIdOf(aStream))),
                                       Send(MakeEvent(1) + MakeEvent(2)),
                                       Await([this] { return m_orders != 0; }),
                                       Send(MakeEvent(3) + MakeEvent(4)),
@@ -89,7 +89,7 @@
       const auto probed = [this](int aTimes) {
         return Await([this, aTimes] { return m_probes >= aTimes; });
       };
-      return std::vector<StubStep>{ Send(MakeStreamHead(AttemptOf(aRequest))),
+      return std::vector<StubStep>{ Send(MakeStreamHead(AttemptIdOf(aRequest))),
                                     Send(MakeEvent(1) + MakeEvent(2)),
                                     probed(aContinueAtProbe),
                                     Send(MakeEvent(3)),
@@ -121,7 +121,7 @@
 TEST(StreamReroute, ASilentStageIsFoundByAskingAndLeft)
 {
   StartWithSpare();
-  m_first->SetScript(WithState([&](const HttpRequest& aRequest) {
+  m_first->SetScript(WithEngineState([&](const HttpRequest& aRequest) {
     if (++m_calls > 1) {
       return StreamAll(aRequest);
     }
@@ -186,7 +186,7 @@
         "HTTP/1.1 409 Conflict\r\nContent-Length: " +
         std::to_string(body.size()) + "\r\n\r\n" + body) };
     }
-    return WithState([&](const HttpRequest& aStream) {
+    return WithEngineState([&](const HttpRequest& aStream) {
       if (++m_calls > 1) {
         return StreamAll(aStream);
       }
@@ -233,8 +233,8 @@
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 4);
   m_other = &m_fixture->AddEngine(0, 4);
-  m_first->SetScript(WithState(StreamAll));
-  m_other->SetScript(WithState(StreamAll));
+  m_first->SetScript(WithEngineState(StreamAll));
+  m_other->SetScript(WithEngineState(StreamAll));
   m_fixture->Suspect(*m_first);
   m_fixture->Start();
   CHECK(m_fixture->RunUntil([this] {
@@ -309,7 +309,7 @@
 {
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 4);
-  m_first->SetScript(WithState(StreamAll));
+  m_first->SetScript(WithEngineState(StreamAll));
   m_fixture->Suspect(*m_first);
   m_fixture->Start();
   CHECK(m_fixture->RunUntil([this] {
