--- a/Source/Forwarding/CallerConnection.cxx
+++ b/Source/Forwarding/CallerConnection.cxx
@@ -169,7 +169,7 @@
 }
 
 void
-CallerConnection::OnOverdue(TimePoint /*aNow*/)
+CallerConnection::OnDeadline(TimePoint /*aNow*/)
 {
   m_isOverdue = true;
   ClearDeadline();
--- a/Source/Forwarding/CallerConnection.h
+++ b/Source/Forwarding/CallerConnection.h
@@ -10,7 +10,7 @@
 #include <boost/beast/http/parser.hpp>
 
 #include "Base/Clock.h"
-#include "Forwarding/ActivityWatch.h"
+#include "Forwarding/DeadlineMonitor.h"
 #include "Routing/RoutingConfig.h"
 #include "Wire/Http.h"
 
@@ -30,7 +30,7 @@
 // Invariant: at most one operation at a time, apart from the watch for a
 // disconnect.
 class CallerConnection final
-  : public Watched
+  : public MonitoredWait
   , public std::enable_shared_from_this<CallerConnection>
 {
 public:
@@ -57,7 +57,7 @@
   // Closes the connection without an answer if no request has begun on it.
   void CloseIfIdle();
 
-  void OnOverdue(TimePoint aNow) override;
+  void OnDeadline(TimePoint aNow) override;
 
 private:
   ReadResult ClassifyReadError(const beast::error_code& aError) const;
--- a/Source/Forwarding/ForwardCall.cxx
+++ b/Source/Forwarding/EndpointCall.cxx
@@ -1,5 +1,5 @@
-// One request on its way to one endpoint.
-#include "Forwarding/ForwardCall.h"
+// Sends one request to one endpoint and reads its answer.
+#include "Forwarding/EndpointCall.h"
 
 #include <charconv>
 #include <utility>
@@ -15,12 +15,12 @@
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 constexpr std::uint32_t kMaxHeaderBytes = 64U * 1024;
 constexpr std::size_t kReadBytes = 16UL * 1024;
-// Idle time of an endpoint that does not tell its own.
+// Idle limit of connections to an endpoint that does not send a limit.
 constexpr Duration kDefaultIdle = std::chrono::seconds(30);
-// Closed this much before the endpoint would.
+// Idle connections are closed this long before the endpoint would close them.
 constexpr Duration kIdleMargin = std::chrono::milliseconds(500);
 
-// Reads "timeout=5" of a Keep-Alive header.
+// Parses the "timeout=5" parameter of a Keep-Alive header.
 Duration
 ReadIdleLimit(std::string_view aValue)
 {
@@ -39,32 +39,33 @@
 
 } // namespace
 
-ForwardCall::ForwardCall(const asio::any_io_executor& aExecutor,
-                         ConnectionPool& aPool,
-                         RunnerPtr aRunner,
-                         StagePathPtr aPath,
-                         CallSubject aSubject)
+EndpointCall::EndpointCall(const asio::any_io_executor& aExecutor,
+                           ConnectionPool& aPool,
+                           RunnerPtr aRunner,
+                           StagePathPtr aPath,
+                           CallInfo aInfo)
   : m_pool(aPool)
   , m_runner(std::move(aRunner))
-  , m_subject(std::move(aSubject))
+  , m_info(std::move(aInfo))
   , m_path(std::move(aPath))
-  , m_hold(m_path, m_subject.m_tokens, m_subject.m_promptTokens)
+  , m_reservation(m_path, m_info.m_tokens, m_info.m_promptTokens)
   , m_connection(std::make_unique<EndpointConnection>(aExecutor))
 {
   m_runner->m_load->AddStream();
 }
 
-ForwardCall::~ForwardCall()
+EndpointCall::~EndpointCall()
 {
   m_runner->m_load->RemoveStream();
 }
 
 void
-ForwardCall::TakePath(StagePathPtr aPath)
+EndpointCall::SetPath(StagePathPtr aPath)
 {
   m_path = std::move(aPath);
-  m_hold = PathReservation(m_path, m_subject.m_tokens);
-  // The new engines read first; the silence so far was the old ones'.
+  m_reservation = PathReservation(m_path, m_info.m_tokens);
+  // The new engines run the prefill first; the silence so far was caused by the
+  // engines of the old path.
   const bool hasProgress = HasProgress();
   m_progressAt = BootClock::now();
   if (!hasProgress) {
@@ -73,7 +74,7 @@
 }
 
 bool
-ForwardCall::Fail(CallEnd aWhy)
+EndpointCall::Fail(CallEnd aWhy)
 {
   if (m_end == CallEnd::None) {
     m_end = aWhy;
@@ -82,7 +83,7 @@
 }
 
 void
-ForwardCall::Abort(CallEnd aWhy)
+EndpointCall::Abort(CallEnd aWhy)
 {
   Fail(aWhy);
   if (m_connection) {
@@ -92,13 +93,13 @@
 }
 
 void
-ForwardCall::OnOverdue(TimePoint /*aNow*/)
+EndpointCall::OnDeadline(TimePoint /*aNow*/)
 {
   Abort(CallEnd::Overdue);
 }
 
 asio::awaitable<bool>
-ForwardCall::Connect(Duration aTimeout)
+EndpointCall::Connect(Duration aTimeout)
 {
   const TimePoint now = BootClock::now();
   if (EndpointConnectionPtr idle = m_pool.TakeIdle(*m_runner, now)) {
@@ -128,7 +129,7 @@
 }
 
 void
-ForwardCall::Send(std::string aHeader, std::string_view aBody)
+EndpointCall::Send(std::string aHeader, std::string_view aBody)
 {
   m_header = std::move(aHeader);
   m_body = aBody;
@@ -147,7 +148,7 @@
 }
 
 void
-ForwardCall::StartParser()
+EndpointCall::StartParser()
 {
   m_parser.emplace();
   m_parser->header_limit(kMaxHeaderBytes);
@@ -156,7 +157,7 @@
 }
 
 asio::awaitable<bool>
-ForwardCall::ReadMore()
+EndpointCall::ReadMore()
 {
   beast::flat_buffer& buffer = m_connection->m_buffer;
   const auto [error, bytes] = co_await m_connection->m_socket.async_read_some(
@@ -175,7 +176,7 @@
   const TimePoint now = BootClock::now();
   if (HasProgress()) {
     constexpr int kWeight = 4;
-    m_usualGap += (now - m_progressAt - m_usualGap) / kWeight;
+    m_averageArrivalGap += (now - m_progressAt - m_averageArrivalGap) / kWeight;
     if (m_path) {
       m_runner->m_load->RecordEventGap(now, now - m_progressAt);
     }
@@ -185,7 +186,7 @@
 }
 
 asio::awaitable<bool>
-ForwardCall::ReadHeader()
+EndpointCall::ReadHeader()
 {
   beast::flat_buffer& buffer = m_connection->m_buffer;
   while (!m_parser->is_header_done()) {
@@ -210,7 +211,7 @@
 }
 
 asio::awaitable<bool>
-ForwardCall::ReadBody(std::string& aOut)
+EndpointCall::ReadBody(std::string& aOut)
 {
   beast::flat_buffer& buffer = m_connection->m_buffer;
   const std::size_t before = aOut.size();
@@ -250,14 +251,14 @@
 }
 
 bool
-ForwardCall::SkipAnswer()
+EndpointCall::SkipAnswer()
 {
   StartParser();
   return true;
 }
 
 void
-ForwardCall::Release(TimePoint aNow)
+EndpointCall::Release(TimePoint aNow)
 {
   ClearDeadline();
   const bool isWhole = m_end == CallEnd::None && m_parser &&
@@ -272,7 +273,7 @@
   }
   const Duration idle =
     ReadIdleLimit(m_parser->get()[http::field::keep_alive]) - kIdleMargin;
-  m_pool.AddIdle(*m_runner, std::move(m_connection), aNow, idle);
+  m_pool.Keep(*m_runner, std::move(m_connection), aNow, idle);
 }
 
 } // namespace parsleycove
--- /dev/null
+++ b/Source/Forwarding/EndpointCall.h
@@ -0,0 +1,162 @@
+// Sends one request to one endpoint and reads its answer.
+#pragma once
+
+#include <array>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include <boost/beast/http/buffer_body.hpp>
+#include <boost/beast/http/parser.hpp>
+
+#include "Forwarding/ConnectionPool.h"
+#include "Forwarding/DeadlineMonitor.h"
+#include "Forwarding/EndpointConnection.h"
+#include "Routing/PathSelector.h"
+
+namespace parsleycove {
+
+// Why a call ended before its answer was complete.
+enum class CallEnd
+{
+  None,
+  // No connection was established, so no byte was sent.
+  NotConnected,
+  // The connection broke, or the received bytes are not a valid answer.
+  Broken,
+  // The answer belongs to another request.
+  Foreign,
+  Overdue,
+  CallerGone,
+  // A stage behind the first endpoint has failed.
+  StageLost,
+  // No event arrived for too long.
+  Stalled,
+};
+
+// Describes the request of a call.
+struct CallInfo
+{
+  // Id of the caller's attempt; the first engine of a path identifies the
+  // request by this id.
+  std::string m_attemptId;
+  // Tokens of the prompt and the expected answer; 0 for plain calls.
+  std::uint32_t m_tokens = 0;
+  std::uint32_t m_promptTokens = 0;
+};
+
+// Kept alive by the coroutine that runs the call, and by pending writes.
+//
+// Invariant: after Abort every wait ends with the reason given to Abort, and
+// the connection is not used again.
+class EndpointCall final
+  : public MonitoredWait
+  , public std::enable_shared_from_this<EndpointCall>
+{
+public:
+  using Header = http::response_header<>;
+
+  EndpointCall(const asio::any_io_executor& aExecutor,
+               ConnectionPool& aPool,
+               RunnerPtr aRunner,
+               StagePathPtr aPath,
+               CallInfo aInfo);
+  ~EndpointCall() override;
+
+  // Takes an idle connection from the pool or opens a new connection. Returns
+  // false, with End() set, if there is none within aTimeout.
+  asio::awaitable<bool> Connect(Duration aTimeout);
+  // Sends without waiting: an endpoint may answer before it has read the whole
+  // request.
+  void Send(std::string aHeader, std::string_view aBody);
+  // Reads up to the end of the answer's header. Returns false if the call
+  // ended.
+  asio::awaitable<bool> ReadHeader();
+  // Appends the next bytes of the body. Returns false at the end of the answer:
+  // End() is None if the answer is complete, and the reason otherwise.
+  asio::awaitable<bool> ReadBody(std::string& aOut);
+  // Prepares to read the next answer on the connection in place of this answer.
+  bool SkipAnswer();
+
+  void Abort(CallEnd aWhy);
+  // Returns the connection to the pool if the answer was complete and no bytes
+  // follow it; closes the connection otherwise.
+  void Release(TimePoint aNow);
+
+  void OnDeadline(TimePoint aNow) override;
+
+  const Header& Answer() const { return m_parser->get().base(); }
+  CallEnd End() const { return m_end; }
+  bool MayHaveArrived() const { return m_sent; }
+  bool IsNewConnection() const { return m_isNew; }
+  // Returns true if the endpoint did not answer the connection's first packet
+  // in time; the packet may have been lost.
+  bool HasConnectTimedOut() const { return m_connectTimedOut; }
+  const RunnerPtr& Target() const { return m_runner; }
+  const StagePathPtr& Path() const { return m_path; }
+  // Sets the path of the remaining tokens; its first engine is the same.
+  void SetPath(StagePathPtr aPath);
+  // Must be called when the first event arrives, since prefill is done then.
+  void MarkPrefillDone() { m_reservation.NoteRead(); }
+  const std::string& AttemptId() const { return m_info.m_attemptId; }
+  std::uint32_t ExpectedTokens() const { return m_info.m_tokens; }
+  // A reroute order for this stream is in flight.
+  bool IsRerouting() const { return m_isRerouting; }
+  void SetRerouting(bool aIsRerouting) { m_isRerouting = aIsRerouting; }
+  // Returns false after a reroute order failed or found no replacement engine.
+  bool MayReroute() const { return m_mayReroute; }
+  void DenyReroute() { m_mayReroute = false; }
+
+  TimePoint SentAt() const { return m_sentAt; }
+  // When bytes last arrived, or when the request was sent if none arrived yet.
+  TimePoint ProgressAt() const { return m_progressAt; }
+  bool HasProgress() const { return m_progressAt > m_sentAt; }
+  // Moving average of the time between two arrivals of bytes.
+  Duration AverageArrivalGap() const { return m_averageArrivalGap; }
+  void SetAverageArrivalGap(Duration aGap) { m_averageArrivalGap = aGap; }
+  // Sets the function that decides whether the request may move to another
+  // endpoint now, and that charges the retry budget for the move. A call that
+  // must not move is never ended because of silence.
+  void SetMoveClaim(std::function<bool()> aClaim)
+  {
+    m_moveClaim = std::move(aClaim);
+  }
+  bool ClaimMove() const { return m_moveClaim && m_moveClaim(); }
+
+private:
+  using Parser = http::response_parser<http::buffer_body>;
+
+  void StartParser();
+  asio::awaitable<bool> ReadMore();
+  bool Fail(CallEnd aWhy);
+
+  ConnectionPool& m_pool;
+  const RunnerPtr m_runner;
+  const CallInfo m_info;
+  // Null for plain calls.
+  StagePathPtr m_path;
+  PathReservation m_reservation;
+  bool m_isRerouting = false;
+  bool m_mayReroute = true;
+  // Null after the connection was returned to the pool.
+  EndpointConnectionPtr m_connection;
+  std::optional<Parser> m_parser;
+  std::string m_header;
+  std::string_view m_body;
+  std::array<char, 8192> m_chunk{};
+  CallEnd m_end = CallEnd::None;
+  TimePoint m_sentAt{};
+  TimePoint m_progressAt{};
+  bool m_sent = false;
+  bool m_written = false;
+  bool m_isNew = false;
+  bool m_connectTimedOut = false;
+  std::function<bool()> m_moveClaim;
+  Duration m_averageArrivalGap{};
+  bool m_atEnd = false;
+};
+
+using EndpointCallPtr = std::shared_ptr<EndpointCall>;
+
+} // namespace parsleycove
--- a/Source/Forwarding/EventSplitter.cxx
+++ b/Source/Forwarding/EventSplitter.cxx
@@ -1,4 +1,4 @@
-// Cuts a stream of bytes into whole events.
+// Splits a byte stream into complete events.
 #include "Forwarding/EventSplitter.h"
 
 #include <charconv>
@@ -31,7 +31,8 @@
   return std::nullopt;
 }
 
-// The length of the first event with its empty line; 0: it has not ended.
+// Returns the length of the first event including its empty line, or 0 if the
+// event is incomplete.
 std::size_t
 FindEnd(std::string_view aBytes)
 {
@@ -46,7 +47,7 @@
 } // namespace
 
 std::size_t
-EventSplitter::Take(std::string_view aBytes, std::string& aOut)
+EventSplitter::ExtractEvents(std::string_view aBytes, std::string& aOut)
 {
   m_pending.append(aBytes);
   std::string_view rest = m_pending;
@@ -54,8 +55,9 @@
   for (std::size_t end = FindEnd(rest); end != 0; end = FindEnd(rest)) {
     const std::string_view event = rest.substr(0, end);
     const auto id = ReadId(event);
-    m_hasGap = m_hasGap || (id && m_lastId && *id > *m_lastId + 1);
-    if (m_hasGap) {
+    m_hasMissingEvent =
+      m_hasMissingEvent || (id && m_lastId && *id > *m_lastId + 1);
+    if (m_hasMissingEvent) {
       break;
     }
     rest.remove_prefix(end);
--- /dev/null
+++ b/Source/Forwarding/ForwardedRequest.h
@@ -0,0 +1,118 @@
+// State and answers of one attempt of a caller, from its arrival to its end.
+#pragma once
+
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "Forwarding/CallerConnection.h"
+#include "Forwarding/EndpointCall.h"
+#include "Forwarding/ForwardServices.h"
+#include "Routing/RoutingConfig.h"
+
+namespace parsleycove {
+
+// Why a request is refused. Each cause is established before the request was
+// sent, or after an endpoint answered that it did not run the request.
+enum class RefusalCause
+{
+  NoConfiguration,
+  NoLease,
+  NoEndpoint,
+  NoPath,
+  PathsFull,
+  EndpointsRefuse,
+  OutOfTime,
+  // This VM is shutting down.
+  Stopping,
+};
+
+// A request, its routing decision and its outcome.
+//
+// Invariant: m_route and m_account point into m_config, which keeps them alive.
+struct ForwardedRequest
+{
+  ForwardServices& m_services;
+  CallerConnectionPtr m_caller;
+  boost::intrusive_ptr<const RoutingConfig> m_config;
+  const RouteRule* m_route = nullptr;
+  const AccountRule* m_account = nullptr;
+  std::string m_service;
+  CallerHeaders m_headers;
+  TimePoint m_arrival;
+  TimePoint m_deadline;
+
+  // Outcome of the request, for the log.
+  RequestEnd m_end = RequestEnd::Failed;
+  unsigned m_status = 0;
+  unsigned m_attempts = 0;
+  unsigned m_resumes = 0;
+  std::string m_lastEndpoint;
+  // Why the last attempt to send the request failed; empty if none failed.
+  // Refers to a string literal.
+  std::string_view m_lastFault;
+  std::string m_why;
+  // Reason given by another component, such as the control group; may be empty.
+  std::string m_detail;
+  Duration m_firstAnswerDelay{};
+  Duration m_longestGap{};
+  // Path of the last attempt; null for plain requests.
+  StagePathPtr m_path;
+  std::vector<std::string> m_excluded;
+  // Utilization of the last path that was considered.
+  PathUtilization m_utilization;
+  // Tokens of a stream's prompt and expected answer; 0 for plain requests.
+  std::uint32_t m_expectedTokens = 0;
+  // The call in flight, which is aborted when the caller disconnects.
+  EndpointCallPtr m_call;
+
+  const HttpRequest& Http() const { return m_caller->Request(); }
+  Duration TimeLeft() const { return m_deadline - BootClock::now(); }
+  bool IsOutOfTime() const { return TimeLeft() <= Duration::zero(); }
+};
+
+// Returns the header of the request that is sent to an endpoint.
+std::string
+MakeForwardHeader(const ForwardedRequest& aRequest,
+                  const ForwardHeaders& aHeaders);
+
+// Returns the header of an endpoint's answer for the caller, without the
+// signature if aStatus differs from the endpoint's status. A negative length
+// starts a chunked body.
+std::string
+MakeAnswerHeader(const ForwardedRequest& aRequest,
+                 unsigned aStatus,
+                 const EndpointCall::Header& aAnswer,
+                 std::int64_t aLength);
+
+// Returns an answer made by this gateway. Retry-After is left out if
+// aRetryAfter is zero.
+std::string
+MakeGatewayAnswer(const ForwardedRequest& aRequest,
+                  unsigned aStatus,
+                  std::string_view aText,
+                  Duration aRetryAfter);
+
+// Answers that the request was not run, and after which time to retry.
+asio::awaitable<void>
+Refuse(ForwardedRequest& aRequest, RefusalCause aCause);
+
+// Answers with an error of the caller, or with a failure that does not tell
+// whether the request ran.
+asio::awaitable<void>
+Fail(ForwardedRequest& aRequest, unsigned aStatus, std::string aWhy);
+
+// Connects and sends the request. Returns nullptr if no byte was sent. Sets
+// aRequest.m_call. Counts and logs the attempt as a retry if an earlier attempt
+// was sent; only here is it certain that the retry is sent.
+asio::awaitable<EndpointCallPtr>
+StartCall(ForwardedRequest& aRequest,
+          RunnerPtr aRunner,
+          StagePathPtr aPath,
+          ForwardHeaders aHeaders,
+          Duration aConnectTimeout);
+
+std::string_view
+NameOfEnd(CallEnd aEnd);
+
+} // namespace parsleycove
--- a/Source/Forwarding/PlainForwarder.cxx
+++ b/Source/Forwarding/PlainForwarder.cxx
@@ -34,28 +34,29 @@
 class PlainForwarder
 {
 public:
-  explicit PlainForwarder(RequestJob& aJob)
-    : m_job(aJob)
-    , m_services(aJob.m_services)
-    , m_desk(aJob.m_services.m_board.DeskOf(aJob.m_service))
+  explicit PlainForwarder(ForwardedRequest& aRequest)
+    : m_request(aRequest)
+    , m_services(aRequest.m_services)
+    , m_serviceState(
+        aRequest.m_services.m_routing.ServiceState(aRequest.m_service))
   {
   }
 
   asio::awaitable<void> Run()
   {
-    m_desk.m_retries.RecordRequest(BootClock::now());
+    m_serviceState.m_retries.RecordRequest(BootClock::now());
     for (;;) {
-      if (m_job.m_caller->IsDisconnected()) {
-        m_job.m_end = RequestEnd::CallerGone;
+      if (m_request.m_caller->IsDisconnected()) {
+        m_request.m_end = RequestEnd::CallerGone;
         co_return;
       }
-      if (m_job.IsOutOfTime()) {
+      if (m_request.IsOutOfTime()) {
         co_await EndWithoutAnswer(RefusalCause::OutOfTime);
         co_return;
       }
       const RunnerPtr runner = PickEndpoint();
       if (!runner) {
-        co_await EndWithoutAnswer(m_job.m_attempts + m_connectFailures == 0
+        co_await EndWithoutAnswer(m_request.m_attempts + m_connectFailures == 0
                                     ? RefusalCause::NoEndpoint
                                     : RefusalCause::EndpointsRefuse);
         co_return;
@@ -75,110 +76,113 @@
   RunnerPtr PickEndpoint()
   {
     PickRequest request;
-    request.m_service = m_job.m_service;
-    request.m_excluded = m_job.m_excluded;
+    request.m_service = m_request.m_service;
+    request.m_excluded = m_request.m_excluded;
     request.m_ownZone = m_services.m_options.m_zone;
-    return m_services.m_board.PickEndpoint(BootClock::now(), request);
+    return m_services.m_routing.PickEndpoint(BootClock::now(), request);
   }
 
   bool HasAlternative(const RunnerPtr& aRunner)
   {
-    const RunnerTable* table = m_services.m_board.Runners();
-    const auto* all = table ? table->FindService(m_job.m_service) : nullptr;
+    const RunnerTable* table = m_services.m_routing.Runners();
+    const auto* all = table ? table->FindService(m_request.m_service) : nullptr;
     return all != nullptr &&
            std::any_of(
              all->begin(), all->end(), [&](const RunnerPtr& aCandidate) {
                return aCandidate->m_id != aRunner->m_id &&
-                      std::find(m_job.m_excluded.begin(),
-                                m_job.m_excluded.end(),
-                                aCandidate->m_id) == m_job.m_excluded.end();
+                      std::find(m_request.m_excluded.begin(),
+                                m_request.m_excluded.end(),
+                                aCandidate->m_id) == m_request.m_excluded.end();
              });
   }
 
   bool MayRetry(ForwardOutcome aOutcome)
   {
     const bool kindAllows =
-      aOutcome == ForwardOutcome::NotExecuted || m_job.m_route->CanRetry();
+      aOutcome == ForwardOutcome::NotExecuted || m_request.m_route->CanRetry();
     const bool countAllows =
       m_connectFailures < kMaxConnectFailures &&
-      m_possibleExecutions < m_job.m_route->m_maxAttempts;
+      m_possibleExecutions < m_request.m_route->m_maxAttempts;
     // As long as no byte was sent, the next call is not a retry and costs no
     // retry budget.
-    const bool isRetry = m_job.m_attempts > 0;
-    return kindAllows && countAllows && !m_job.m_caller->IsDisconnected() &&
-           (!isRetry || m_desk.m_retries.Spend(BootClock::now(),
-                                               m_services.m_board.Gateways()));
+    const bool isRetry = m_request.m_attempts > 0;
+    return kindAllows && countAllows && !m_request.m_caller->IsDisconnected() &&
+           (!isRetry ||
+            m_serviceState.m_retries.Spend(
+              BootClock::now(), m_services.m_routing.GatewayCount()));
   }
 
   asio::awaitable<ForwardOutcome> TryEndpoint(RunnerPtr aRunner)
   {
-    m_job.m_excluded.push_back(aRunner->m_id);
+    m_request.m_excluded.push_back(aRunner->m_id);
     const TimePoint startedAt = BootClock::now();
-    const ForwardCallPtr call = co_await StartCall(
-      m_job,
+    const EndpointCallPtr call = co_await StartCall(
+      m_request,
       aRunner,
       nullptr,
       {},
-      std::min<Duration>(kConnectTimeout, m_job.TimeLeft() / 2));
+      std::min<Duration>(kConnectTimeout, m_request.TimeLeft() / 2));
     if (!call) {
       ++m_connectFailures;
       RecordCallFailure(*aRunner, "not_connected");
       co_return ForwardOutcome::NotExecuted;
     }
-    ++m_job.m_attempts;
+    ++m_request.m_attempts;
     ++m_possibleExecutions;
     call->SetDeadline(ChooseDeadline(aRunner));
     const ForwardOutcome outcome = co_await Receive(*call);
-    m_job.m_call = nullptr;
+    m_request.m_call = nullptr;
     const TimePoint now = BootClock::now();
     call->Release(now);
     if (outcome == ForwardOutcome::Finished &&
-        m_job.m_end == RequestEnd::Answered) {
+        m_request.m_end == RequestEnd::Answered) {
       UpdateCircuit(*aRunner, "answered a request", [&](TimePoint aNow) {
         aRunner->m_load->CloseCircuit(aNow);
       });
-      m_desk.m_usual +=
-        (now - startedAt - m_desk.m_usual) / kLatencyAverageWeight;
+      m_serviceState.m_averageLatency +=
+        (now - startedAt - m_serviceState.m_averageLatency) /
+        kLatencyAverageWeight;
     }
     co_return outcome;
   }
 
   TimePoint ChooseDeadline(const RunnerPtr& aRunner)
   {
-    const bool mayRetry = m_job.m_route->CanRetry() &&
-                          m_possibleExecutions < m_job.m_route->m_maxAttempts &&
-                          HasAlternative(aRunner);
+    const bool mayRetry =
+      m_request.m_route->CanRetry() &&
+      m_possibleExecutions < m_request.m_route->m_maxAttempts &&
+      HasAlternative(aRunner);
     if (!mayRetry) {
-      return m_job.m_deadline;
+      return m_request.m_deadline;
     }
     const Duration retryTimeout = std::max<Duration>(
-      kMinRetryTimeout, m_desk.m_usual * kRetryTimeoutFactor);
-    return std::min(m_job.m_deadline, BootClock::now() + retryTimeout);
+      kMinRetryTimeout, m_serviceState.m_averageLatency * kRetryTimeoutFactor);
+    return std::min(m_request.m_deadline, BootClock::now() + retryTimeout);
   }
 
-  asio::awaitable<ForwardOutcome> Receive(ForwardCall& aCall)
+  asio::awaitable<ForwardOutcome> Receive(EndpointCall& aCall)
   {
     std::string body;
     if (!co_await ReadMatchingAnswer(aCall, body)) {
       co_return co_await RecordBrokenCall(aCall);
     }
-    const ForwardCall::Header& answer = aCall.Answer();
+    const EndpointCall::Header& answer = aCall.Answer();
     const unsigned status = answer.result_int();
     const AnswerHeaders headers =
       m_services.m_dialect.ParseAnswerHeaders(status, answer);
     RecordLoad(*aCall.Target(), headers);
     if (headers.m_isNotExecuted) {
       --m_possibleExecutions;
-      m_job.m_lastFault = "endpoint_refused";
+      m_request.m_lastFault = "endpoint_refused";
       co_return ForwardOutcome::NotExecuted;
     }
     const bool isFailure = status >= kFirstServerError;
-    if (isFailure && m_job.m_route->m_kind == RequestKind::Safe &&
-        m_possibleExecutions < m_job.m_route->m_maxAttempts &&
+    if (isFailure && m_request.m_route->m_kind == RequestKind::Safe &&
+        m_possibleExecutions < m_request.m_route->m_maxAttempts &&
         HasAlternative(aCall.Target()) &&
-        m_desk.m_retries.Remaining(BootClock::now(),
-                                   m_services.m_board.Gateways()) >= 1) {
-      m_job.m_lastFault = "endpoint_failed";
+        m_serviceState.m_retries.Remaining(
+          BootClock::now(), m_services.m_routing.GatewayCount()) >= 1) {
+      m_request.m_lastFault = "endpoint_failed";
       co_return ForwardOutcome::Failed;
     }
     co_await DeliverAnswer(aCall, headers, std::move(body));
@@ -187,7 +191,7 @@
 
   // Reads the complete answer to this request and skips answers to other
   // requests. Returns false if the call ended before the answer was complete.
-  asio::awaitable<bool> ReadMatchingAnswer(ForwardCall& aCall,
+  asio::awaitable<bool> ReadMatchingAnswer(EndpointCall& aCall,
                                            std::string& aBody)
   {
     constexpr int kMaxForeignAnswers = 2;
@@ -199,7 +203,7 @@
       while (co_await aCall.ReadBody(aBody)) {
         // The whole body is buffered, since the answer must be complete before
         // its length is sent to the caller.
-        if (aBody.size() > m_job.m_config->Limits().m_maxBodyBytes) {
+        if (aBody.size() > m_request.m_config->Limits().m_maxBodyBytes) {
           aCall.Abort(CallEnd::Broken);
         }
       }
@@ -215,22 +219,22 @@
     co_return false;
   }
 
-  bool IsForeignAnswer(const ForwardCall& aCall) const
+  bool IsForeignAnswer(const EndpointCall& aCall) const
   {
-    const ForwardCall::Header& answer = aCall.Answer();
+    const EndpointCall::Header& answer = aCall.Answer();
     const AnswerHeaders headers =
       m_services.m_dialect.ParseAnswerHeaders(answer.result_int(), answer);
     if (headers.m_attemptId.empty()) {
       return answer.result_int() < kFirstClientError;
     }
-    return headers.m_attemptId != m_job.m_headers.m_attemptId;
+    return headers.m_attemptId != m_request.m_headers.m_attemptId;
   }
 
-  asio::awaitable<void> DeliverAnswer(ForwardCall& aCall,
+  asio::awaitable<void> DeliverAnswer(EndpointCall& aCall,
                                       const AnswerHeaders& aHeaders,
                                       std::string aBody)
   {
-    const ForwardCall::Header& answer = aCall.Answer();
+    const EndpointCall::Header& answer = aCall.Answer();
     unsigned status = answer.result_int();
     const bool isSuccess = status < kFirstClientError;
     // The endpoint may have executed the request, so a status that guarantees
@@ -239,36 +243,36 @@
         (isSuccess && !aHeaders.m_isSigned)) {
       status = kBadGateway;
     }
-    m_job.m_status = status;
-    m_job.m_end =
+    m_request.m_status = status;
+    m_request.m_end =
       status < kFirstClientError ? RequestEnd::Answered : RequestEnd::Failed;
-    m_job.m_firstAfter = BootClock::now() - m_job.m_arrival;
+    m_request.m_firstAnswerDelay = BootClock::now() - m_request.m_arrival;
     if (status == kBadGateway && status != answer.result_int()) {
-      m_job.m_why = "the endpoint's status " +
-                    std::to_string(answer.result_int()) +
-                    " cannot be passed on to the caller";
-    } else if (m_job.m_end == RequestEnd::Failed) {
-      m_job.m_why = "the endpoint answered with this status";
+      m_request.m_why = "the endpoint's status " +
+                        std::to_string(answer.result_int()) +
+                        " cannot be passed on to the caller";
+    } else if (m_request.m_end == RequestEnd::Failed) {
+      m_request.m_why = "the endpoint answered with this status";
     }
     std::string out = MakeAnswerHeader(
-      m_job, status, answer, static_cast<std::int64_t>(aBody.size()));
-    if (m_job.Request().method() != http::verb::head) {
+      m_request, status, answer, static_cast<std::int64_t>(aBody.size()));
+    if (m_request.Request().method() != http::verb::head) {
       out.append(aBody);
     }
-    if (!co_await m_job.m_caller->Write(std::move(out), kWriteTimeout)) {
-      m_job.m_end = RequestEnd::CallerGone;
+    if (!co_await m_request.m_caller->Write(std::move(out), kWriteTimeout)) {
+      m_request.m_end = RequestEnd::CallerGone;
     }
   }
 
-  asio::awaitable<ForwardOutcome> RecordBrokenCall(ForwardCall& aCall)
+  asio::awaitable<ForwardOutcome> RecordBrokenCall(EndpointCall& aCall)
   {
     const CallEnd end = aCall.End();
     if (end == CallEnd::CallerGone) {
-      m_job.m_end = RequestEnd::CallerGone;
+      m_request.m_end = RequestEnd::CallerGone;
       co_return ForwardOutcome::Finished;
     }
     m_lastEnd = end;
-    m_job.m_lastFault = NameOfEnd(end);
+    m_request.m_lastFault = NameOfEnd(end);
     if (end == CallEnd::Overdue) {
       UpdateCircuit(*aCall.Target(), NameOfEnd(end), [&](TimePoint aNow) {
         aCall.Target()->m_load->RecordTimeout(aNow, aCall.SentAt());
@@ -315,7 +319,7 @@
                            [&](DecisionLine& aLine) {
                              aLine.Add("endpoint", aRunner.m_id)
                                .Add("why", aWhy)
-                               .Add("id", m_job.m_headers.m_attemptId);
+                               .Add("id", m_request.m_headers.m_attemptId);
                            });
   }
 
@@ -323,16 +327,17 @@
   // if no endpoint can have executed the request.
   asio::awaitable<void> EndWithoutAnswer(RefusalCause aCause)
   {
-    if (m_job.m_caller->IsDisconnected()) {
-      m_job.m_end = RequestEnd::CallerGone;
+    if (m_request.m_caller->IsDisconnected()) {
+      m_request.m_end = RequestEnd::CallerGone;
       co_return;
     }
     if (m_possibleExecutions == 0) {
-      co_await Refuse(m_job, aCause);
+      co_await Refuse(m_request, aCause);
       co_return;
     }
-    const bool isLate = m_lastEnd == CallEnd::Overdue || m_job.IsOutOfTime();
-    co_await Fail(m_job,
+    const bool isLate =
+      m_lastEnd == CallEnd::Overdue || m_request.IsOutOfTime();
+    co_await Fail(m_request,
                   isLate ? kGatewayTimeout : kBadGateway,
                   "the endpoint did not answer: " +
                     std::string(NameOfEnd(m_lastEnd)));
@@ -340,9 +345,9 @@
 
   static constexpr unsigned kFirstClientError = 400;
 
-  RequestJob& m_job;
+  ForwardedRequest& m_request;
   ForwardServices& m_services;
-  ServiceDesk& m_desk;
+  ServiceRoutingState& m_serviceState;
   // Calls sent to endpoints, without those that an endpoint reported as not
   // executed.
   std::uint32_t m_possibleExecutions = 0;
@@ -353,9 +358,9 @@
 } // namespace
 
 asio::awaitable<void>
-ForwardPlain(RequestJob& aJob)
+ForwardPlain(ForwardedRequest& aRequest)
 {
-  PlainForwarder forwarder(aJob);
+  PlainForwarder forwarder(aRequest);
   co_await forwarder.Run();
 }
 
--- a/Source/Forwarding/PlainForwarder.h
+++ b/Source/Forwarding/PlainForwarder.h
@@ -1,7 +1,7 @@
 // Forwards requests that are answered with one complete body.
 #pragma once
 
-#include "Forwarding/RequestJob.h"
+#include "Forwarding/ForwardedRequest.h"
 
 namespace parsleycove {
 
@@ -9,6 +9,6 @@
 // request on another endpoint after any failure, an unsafe request only if it
 // was not executed: no connection was made, or the endpoint said so.
 asio::awaitable<void>
-ForwardPlain(RequestJob& aJob);
+ForwardPlain(ForwardedRequest& aRequest);
 
 } // namespace parsleycove
--- /dev/null
+++ b/Source/Forwarding/RoutingState.h
@@ -0,0 +1,117 @@
+// Holds the state a gateway routes by: configuration, endpoints and paths.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <string>
+#include <string_view>
+
+#include "Base/Clock.h"
+#include "Forwarding/ForwardOptions.h"
+#include "Routing/PathSelector.h"
+#include "Routing/RoutingConfig.h"
+#include "Routing/RunnerTable.h"
+#include "Routing/ServicePicker.h"
+#include "Routing/WindowedBudget.h"
+#include "State/ControlPort.h"
+#include "Wire/Http.h"
+
+namespace parsleycove {
+
+class DecisionLog;
+
+// Routing state of one service.
+struct ServiceRoutingState
+{
+  ServiceRoutingState(const std::string& aZone,
+                      const WindowedBudgetSettings& aRetries)
+    : m_paths(aZone)
+    , m_retries(aRetries, BootClock::now())
+  {
+  }
+
+  PathSelector m_paths;
+  WindowedBudget m_retries;
+  // Moving average of the latency of successful plain calls.
+  Duration m_averageLatency = std::chrono::milliseconds(20);
+};
+
+enum class FailureEvidence
+{
+  // The engine refuses or breaks connections, has restarted, or answered a
+  // probe with an error.
+  Certain,
+  // The engine did not answer in time.
+  Timeout,
+};
+
+// Applies the replicated state. Used by one thread only.
+//
+// Invariant: the version of the configuration never decreases.
+class RoutingState
+{
+public:
+  RoutingState(const ForwardOptions& aOptions,
+               ControlPort& aControl,
+               const RoutingConfigCodec& aCodec,
+               DecisionLog& aLog);
+
+  // Applies the view received from the control group since the last call.
+  void Refresh(TimePoint aNow);
+
+  // Returns nullptr until a configuration has been received.
+  const RoutingConfig* Config() const { return m_config.get(); }
+  boost::intrusive_ptr<const RoutingConfig> SharedConfig() const
+  {
+    return m_config;
+  }
+  const RunnerTable* Runners() const { return m_runners.get(); }
+  bool HasLease(TimePoint aNow) const { return m_control.HasLease(aNow); }
+  // Waits until the view includes every change accepted before the call.
+  // Returns false and sets aReason if no quorum confirmed the view by
+  // aDeadline.
+  asio::awaitable<bool> Confirm(asio::io_context& aContext,
+                                TimePoint aDeadline,
+                                std::string& aReason);
+  // When the last lease ended; the start of the process before the first lease.
+  TimePoint LeaseLostAt() const { return m_leaseLostAt; }
+  std::uint32_t GatewayCount() const;
+
+  ServiceRoutingState& ServiceState(const std::string& aService);
+  RunnerPtr PickEndpoint(TimePoint aNow, const PickRequest& aRequest);
+  // Draws one of the route's services, in proportion to their weights.
+  const std::string& ChooseService(const RouteRule& aRoute);
+  // Returns a random number in [0, 1).
+  double DrawFraction() { return m_random.Fraction(); }
+  // Reports a failed endpoint to the control group. A time-out of an endpoint
+  // in another availability zone counts only once a second gateway reports it,
+  // too.
+  void ReportFailure(const Runner& aRunner, FailureEvidence aEvidence);
+  // Returns true if the runner is in this VM's availability zone.
+  bool IsInLocalZone(const Runner& aRunner) const;
+  // Must be called when the circuit of an engine has changed.
+  void InvalidatePaths();
+
+private:
+  void ApplyDocument(const ClusterView& aView);
+  void ApplyEndpoints(const ClusterView& aView);
+  void UpdateLease(TimePoint aNow);
+
+  const ForwardOptions& m_options;
+  ControlPort& m_control;
+  const RoutingConfigCodec& m_codec;
+  DecisionLog& m_log;
+  boost::intrusive_ptr<const ClusterView> m_view;
+  boost::intrusive_ptr<const RoutingConfig> m_config;
+  boost::intrusive_ptr<const RunnerTable> m_runners;
+  std::map<std::string, std::unique_ptr<ServiceRoutingState>, std::less<>>
+    m_serviceStates;
+  ServicePicker m_picker;
+  Random m_random;
+  std::uint64_t m_documentVersion = 0;
+  bool m_hadLease = false;
+  TimePoint m_leaseLostAt = BootClock::now();
+};
+
+} // namespace parsleycove
--- a/Source/Forwarding/StreamRerouter.h
+++ b/Source/Forwarding/StreamRerouter.h
@@ -1,28 +1,28 @@
-// Leads streams round a lost stage.
+// Reroutes streams around a failed or slow stage.
 //
-// Pattern: an engine dies under many streams. If they all begin anew, every
-// stage of the other paths reads every prompt again and is busy with that for
-// seconds. The first engine of a path can send a request's further tokens
-// another way instead: then only the engine that steps in reads, and the retry
-// budget is not touched.
+// When an engine with many streams fails and all of them restart, every stage
+// of the other paths repeats the prefill of every prompt and is busy for
+// seconds. Instead, the first engine of a path can send the remaining tokens of
+// a request through another path: then only the replacement engine runs the
+// prefill, and the retry budget is not charged.
 //
-// Where one engine would have to read for too many of them, a part of them
-// begins anew all the same (RerouteShare).
+// If one replacement engine would have to run the prefill of too many streams,
+// a part of these streams restarts nevertheless (RerouteShare).
 //
-// That pays within the zone only. To read the tokens so far, an engine in
-// another zone needs 16 MB for each stream over a pipe that all streams share;
-// fifty streams would wait for a second.
+// Rerouting pays off only within the availability zone. For the prefill, an
+// engine in another zone receives 16 MB per stream over a link that all streams
+// share; fifty streams would wait for about a second.
 #pragma once
 
 #include <deque>
 #include <string>
 #include <unordered_map>
 
+#include "Forwarding/EndpointCall.h"
 #include "Forwarding/EndpointClient.h"
-#include "Forwarding/ForwardCall.h"
 #include "Forwarding/ForwardDialect.h"
 #include "Forwarding/ForwardMetrics.h"
-#include "Forwarding/RoutingBoard.h"
+#include "Forwarding/RoutingState.h"
 #include "Telemetry/DecisionLog.h"
 
 namespace parsleycove {
@@ -34,61 +34,64 @@
                  const ForwardDialect& aDialect,
                  DecisionLog& aLog);
 
-  // The parts that are made after the rerouter.
-  void Attach(RoutingBoard& aBoard, ForwardMetrics& aMetrics);
+  // Sets the components that are constructed after the rerouter.
+  void Attach(RoutingState& aRouting, ForwardMetrics& aMetrics);
 
-  // Gives a stream with a lost stage another path from its first engine. Where
-  // none is near the call ends, if the request may be sent again; only what may
-  // not takes a path that leaves the zone.
-  void Leave(const ForwardCallPtr& aStream);
-  // Gives a stream with a slow stage another path within its zone, if there is
-  // one without slow engines.
-  void LeaveSlow(const ForwardCallPtr& aStream, const Runner& aSlow);
+  // Reroutes a stream with a failed stage, keeping its first engine. If no path
+  // with at most the present number of zone crossings is left, the call ends so
+  // that the request is retried; a request that must not be retried takes a
+  // path with more crossings.
+  void MoveOffFailedStage(const EndpointCallPtr& aStream);
+  // Reroutes a stream with a slow stage if a path without slow engines exists
+  // that has no more zone crossings than the present path.
+  void MoveOffSlowStage(const EndpointCallPtr& aStream, const Runner& aSlow);
 
 private:
-  struct Move
+  struct RerouteTask
   {
-    ForwardCallPtr m_stream;
+    EndpointCallPtr m_stream;
     StagePathPtr m_path;
     RerouteRequest m_request;
-    TimePoint m_since;
+    TimePoint m_startedAt;
 
-    // It leaves the zone no more often than before.
-    bool IsNear() const;
+    // Returns true if the new path has no more zone crossings than the old one.
+    bool AddsNoCrossing() const;
   };
-  // Moves that wait for one first engine, and how many are under way.
-  struct Lane
+  // Tasks that wait for one first engine, and the coroutines that run them.
+  struct RerouteQueue
   {
-    std::deque<Move> m_waiting;
+    std::deque<RerouteTask> m_waiting;
     int m_workers = 0;
   };
 
-  Move MakeMove(const ForwardCallPtr& aStream) const;
-  StagePathPtr FindPath(const ForwardCall& aStream,
+  RerouteTask MakeTask(const EndpointCallPtr& aStream) const;
+  StagePathPtr FindPath(const EndpointCall& aStream,
                         const RerouteRequest& aRequest);
-  void Enqueue(Move aMove);
-  // Gives the orders of one lane, one after the other.
-  asio::awaitable<void> Work(std::string aFirst);
-  asio::awaitable<void> Give(Move aMove);
-  void NoteOutcome(const ForwardCall& aStream,
-                   std::string_view aOutcome,
-                   TimePoint aSince);
-  // The stage with that address; empty: none.
-  static std::string IdAt(const StagePath& aPath, std::string_view aAddress);
-  // Its share of the streams with the same lost stage begins anew, so that
-  // those that are led round wait less.
-  bool PrefersRestart(const Move& aMove) const;
-  // Lets the request begin anew at another path; false: it may not.
-  static bool Restart(ForwardCall& aStream);
+  void Enqueue(RerouteTask aTask);
+  // Sends the orders of one queue, one after the other.
+  asio::awaitable<void> RunWorker(std::string aFirstAddress);
+  asio::awaitable<void> SendOrder(RerouteTask aTask);
+  void RecordOutcome(const EndpointCall& aStream,
+                     std::string_view aOutcome,
+                     TimePoint aStartedAt);
+  // Returns the id of the stage with this address, or an empty string.
+  static std::string FindStageId(const StagePath& aPath,
+                                 std::string_view aAddress);
+  // Returns true for the share of the streams that restart, so that the
+  // rerouted streams with the same failed stage wait less.
+  bool ShouldRestart(const RerouteTask& aTask) const;
+  // Ends the call so that the request is retried on another path. Returns false
+  // if the request must not be retried now.
+  static bool Restart(EndpointCall& aStream);
 
   asio::io_context& m_context;
   const ForwardDialect& m_dialect;
   DecisionLog& m_log;
-  RoutingBoard* m_board = nullptr;
+  RoutingState* m_routing = nullptr;
   ForwardMetrics* m_metrics = nullptr;
   EndpointClient m_client;
-  // By the first engine's address.
-  std::unordered_map<std::string, Lane> m_lanes;
+  // Keyed by the address of the first engine.
+  std::unordered_map<std::string, RerouteQueue> m_queues;
 };
 
 } // namespace parsleycove
