--- a/Source/Forwarding/EndpointCall.cxx
+++ b/Source/Forwarding/EndpointCall.cxx
@@ -273,7 +273,7 @@
   }
   const Duration idle =
     ReadIdleLimit(m_parser->get()[http::field::keep_alive]) - kIdleMargin;
-  m_pool.Keep(*m_runner, std::move(m_connection), aNow, idle);
+  m_pool.AddIdle(*m_runner, std::move(m_connection), aNow, idle);
 }
 
 } // namespace parsleycove
--- a/Source/Forwarding/EndpointCall.h
+++ b/Source/Forwarding/EndpointCall.h
@@ -98,7 +98,7 @@
   // Sets the path of the remaining tokens; its first engine is the same.
   void SetPath(StagePathPtr aPath);
   // Must be called when the first event arrives, since prefill is done then.
-  void MarkPrefillDone() { m_reservation.NoteRead(); }
+  void MarkPrefillDone() { m_reservation.MarkPrefillDone(); }
   const std::string& AttemptId() const { return m_info.m_attemptId; }
   std::uint32_t ExpectedTokens() const { return m_info.m_tokens; }
   // A reroute order for this stream is in flight.
--- a/Source/Forwarding/EngineFailureDetector.cxx
+++ b/Source/Forwarding/EngineFailureDetector.cxx
@@ -124,7 +124,7 @@
 EngineFailureDetector::ProbeIfSilent(TimePoint aNow,
                                      const StreamActivity& aActivity)
 {
-  if (aActivity.m_runner->m_load->Circuit(aNow) == CircuitState::Suspect) {
+  if (aActivity.m_runner->m_load->Circuit(aNow) == CircuitState::Open) {
     return;
   }
   const TimePoint lastProgressAt = LastProgressAt(*aActivity.m_runner);
@@ -167,7 +167,7 @@
   const auto& stages = aStream.Path()->m_stages;
   return std::any_of(
     stages.begin(), stages.end(), [&](const PathStage& aStage) {
-      return aStage.m_runner->m_load->Circuit(aNow) == CircuitState::Suspect;
+      return aStage.m_runner->m_load->Circuit(aNow) == CircuitState::Open;
     });
 }
 
@@ -219,7 +219,7 @@
   EngineHealth& health = m_health[RunnerKey(*aRunner)];
   health.m_runner = aRunner;
   health.m_isSuspectedByReport = true;
-  aRunner->m_load->Suspect(aNow, m_settings.m_reportValidity);
+  aRunner->m_load->OpenCircuitFor(aNow, m_settings.m_reportValidity);
   m_routing->InvalidatePaths();
   LogSuspected(*aRunner,
                "another VM found that the engine failed",
@@ -277,7 +277,8 @@
                m_routing->HasLease(aNow)) {
       // Stays open until the engine's next announcement clears the report.
       health.m_isSuspectedByReport = true;
-      health.m_runner->m_load->Suspect(aNow, m_settings.m_reportValidity);
+      health.m_runner->m_load->OpenCircuitFor(aNow,
+                                              m_settings.m_reportValidity);
     } else if (circuit == CircuitState::HalfOpen) {
       StartProbe(aNow, health.m_runner, Duration::zero());
     } else if (health.m_slowdown > kSlowdownToAvoid) {
@@ -301,10 +302,10 @@
 {
   const TimePoint firstSentAt = BootClock::now();
   TimePoint sentAt = firstSentAt;
-  CallResult result = co_await FetchState(aRunner, ConnectionChoice::Kept);
+  CallResult result = co_await FetchState(aRunner, ConnectionChoice::Reuse);
   if (ShouldRetryProbe(result, *aRunner)) {
     sentAt = BootClock::now();
-    result = co_await FetchState(aRunner, ConnectionChoice::Fresh);
+    result = co_await FetchState(aRunner, ConnectionChoice::New);
   }
   m_health[RunnerKey(*aRunner)].m_isProbing = false;
   m_health[RunnerKey(*aRunner)].m_runner = aRunner;
@@ -368,14 +369,14 @@
   EngineHealth& health = m_health[RunnerKey(*aRunner)];
   health.m_circuitOpenTime = Duration::zero();
   const bool slowChanged = (health.m_slowdown > kSlowdownToAvoid) !=
-                           (aState.m_pace > kSlowdownToAvoid);
-  health.m_slowdown = aState.m_pace;
+                           (aState.m_slowdown > kSlowdownToAvoid);
+  health.m_slowdown = aState.m_slowdown;
   const bool wasOk = aRunner->m_load->Circuit(now) == CircuitState::Closed;
   aRunner->m_load->CloseCircuit(now);
-  if (aState.m_pace > kSlowdownToAvoid || slowChanged) {
-    aRunner->m_load->RecordSlowdown(now, aState.m_pace);
+  if (aState.m_slowdown > kSlowdownToAvoid || slowChanged) {
+    aRunner->m_load->RecordSlowdown(now, aState.m_slowdown);
   }
-  if (aState.m_pace > kSlowdownToLeave) {
+  if (aState.m_slowdown > kSlowdownToLeave) {
     for (const auto& weak : m_streams) {
       if (const EndpointCallPtr stream = weak.lock()) {
         m_rerouter.MoveOffSlowStage(stream, *aRunner);
@@ -387,7 +388,8 @@
     m_log.Write(DecisionEvent::EndpointCleared, [&](DecisionLine& aLine) {
       aLine.Add("endpoint", aRunner->m_id)
         .Add("why", "the engine answered a probe")
-        .Add("pace_percent", static_cast<std::int64_t>(aState.m_pace * 100));
+        .Add("pace_percent",
+             static_cast<std::int64_t>(aState.m_slowdown * 100));
     });
   }
 }
@@ -411,7 +413,7 @@
   health.m_circuitOpenTime = std::clamp(health.m_circuitOpenTime * 2,
                                         m_settings.m_minCircuitOpenTime,
                                         m_settings.m_maxCircuitOpenTime);
-  aRunner->m_load->Suspect(aNow, health.m_circuitOpenTime);
+  aRunner->m_load->OpenCircuitFor(aNow, health.m_circuitOpenTime);
   m_routing->InvalidatePaths();
   m_routing->ReportFailure(*aRunner, aEvidence);
   health.m_isSuspectedByReport = false;
--- a/Source/Forwarding/ForwardSession.cxx
+++ b/Source/Forwarding/ForwardSession.cxx
@@ -166,7 +166,7 @@
   {
     RoutingState& routing = m_services.m_routing;
     aRequest.m_headers =
-      m_services.m_dialect.ParseCallerHeaders(aRequest.Request());
+      m_services.m_dialect.ParseCallerHeaders(aRequest.Http());
     aRequest.m_deadline =
       aRequest.m_arrival +
       aRequest.m_headers.m_timeout.value_or(kDefaultTimeout);
@@ -242,8 +242,8 @@
     const bool hasLease = routing.HasLease(BootClock::now());
     aRequest.m_config = routing.SharedConfig();
     aRequest.m_account = nullptr;
-    aRequest.m_route = aRequest.m_config->FindRoute(
-      ReadHost(aRequest.Request()), PathOf(aRequest.Request()));
+    aRequest.m_route = aRequest.m_config->FindRoute(ReadHost(aRequest.Http()),
+                                                    PathOf(aRequest.Http()));
     if (aRequest.m_route == nullptr) {
       return hasLease ? LookupResult::NoRoute : LookupResult::NoLease;
     }
--- a/Source/Forwarding/ForwardedRequest.cxx
+++ b/Source/Forwarding/ForwardedRequest.cxx
@@ -114,7 +114,7 @@
       DrainPhase::Serving) {
     aRequest.m_caller->CloseAfterAnswer();
   }
-  if (aRequest.m_caller->Closes()) {
+  if (aRequest.m_caller->ClosesAfterAnswer()) {
     AppendField(aOut, "Connection", "close");
   }
 }
--- a/Source/Forwarding/PlainForwarder.cxx
+++ b/Source/Forwarding/PlainForwarder.cxx
@@ -256,7 +256,7 @@
     }
     std::string out = MakeAnswerHeader(
       m_request, status, answer, static_cast<std::int64_t>(aBody.size()));
-    if (m_request.Request().method() != http::verb::head) {
+    if (m_request.Http().method() != http::verb::head) {
       out.append(aBody);
     }
     if (!co_await m_request.m_caller->Write(std::move(out), kWriteTimeout)) {
--- a/Source/Forwarding/StreamAttempt.cxx
+++ b/Source/Forwarding/StreamAttempt.cxx
@@ -266,7 +266,7 @@
   m_request.m_lastFault = NameOfEnd(end);
   m_events.DiscardPartialEvent();
   if (end == CallEnd::Stalled) {
-    m_services.m_pool.Drop(*aCall.Target());
+    m_services.m_pool.CloseIdle(*aCall.Target());
   }
   if (end != CallEnd::StageLost) {
     m_request.m_excluded.push_back(aCall.Target()->m_id);
--- a/Source/Forwarding/StreamForwarder.cxx
+++ b/Source/Forwarding/StreamForwarder.cxx
@@ -103,7 +103,7 @@
     request.m_excluded.clear();
     choice = m_serviceState.m_paths.Choose(now, request);
   }
-  m_request.m_utilization = choice.m_fill;
+  m_request.m_utilization = choice.m_utilization;
   return choice;
 }
 
--- a/Source/Forwarding/StreamRerouter.cxx
+++ b/Source/Forwarding/StreamRerouter.cxx
@@ -137,7 +137,7 @@
       stream.Target()->m_address,
       m_dialect.MakeRerouteOrder(stream.AttemptId(), *aTask.m_path),
       kOrderTimeout,
-      ConnectionChoice::Kept);
+      ConnectionChoice::Reuse);
     if (stream.End() != CallEnd::None) {
       co_return;
     }
--- a/Source/Gateway/Generation.cxx
+++ b/Source/Gateway/Generation.cxx
@@ -153,7 +153,7 @@
       co_await m_worker.Endpoints().Call(runner->m_address,
                                          std::move(post),
                                          kTokenizeTimeout,
-                                         ConnectionChoice::Kept);
+                                         ConnectionChoice::Reuse);
     const TimePoint now = m_services.m_clock.Now();
     if (result.m_response) {
       auto tokens = ParseTokens(result.m_response->body());
@@ -295,7 +295,7 @@
     co_await aClient.Call(std::move(aAddress),
                           std::move(aPost),
                           kCancelTimeout,
-                          ConnectionChoice::Kept);
+                          ConnectionChoice::Reuse);
   };
   asio::co_spawn(m_worker.Context(),
                  run(m_worker.Endpoints(), address, std::move(post)),
@@ -333,7 +333,7 @@
     m_machine.OnResult(now, std::move(result));
     return;
   }
-  if (aEvent.m_outcome.m_reason.m_code == CallError::Silent) {
+  if (aEvent.m_outcome.m_reason.m_code == CallError::NoAnswer) {
     m_machine.OnStepUnresponsive(now, aEvent.m_attempt, aEvent.m_stage);
   } else {
     m_machine.OnStepFailed(now, aEvent.m_attempt, aEvent.m_stage);
--- a/Source/Routing/ExpectedCompletionPlanner.cxx
+++ b/Source/Routing/ExpectedCompletionPlanner.cxx
@@ -120,7 +120,7 @@
     return true;
   }
   const bool suspect =
-    load.Circuit(aNow) == CircuitState::Suspect || load.IsUnresponsive(aNow);
+    load.Circuit(aNow) == CircuitState::Open || load.IsUnresponsive(aNow);
   const bool answered = aFilter == RunnerFilter::Unsuspected ||
                         aRequest.m_answeredSince == TimePoint{} ||
                         load.HasAnsweredSince(aRequest.m_answeredSince);
--- a/Tests/Forwarding/StreamForwardTest.cxx
+++ b/Tests/Forwarding/StreamForwardTest.cxx
@@ -32,7 +32,7 @@
   }
   std::string Ask(const std::string& aPath)
   {
-    return m_fixture->Ask("POST", aPath, kStreamHeader, "prompt");
+    return m_fixture->SendRequest("POST", aPath, kStreamHeader, "prompt");
   }
 
   int m_calls = 0;
@@ -175,7 +175,7 @@
   m_first = &m_fixture->AddEngine(0, 4);
   m_first->SetScript(WithEngineState(StreamAll));
   m_fixture->Start();
-  const std::string answer = m_fixture->Ask(
+  const std::string answer = m_fixture->SendRequest(
     "POST", "/stream/x", kStreamHeader + "Last-Event-Id: 3\r\n", "prompt");
   const std::vector<int> expected{ 4, 5 };
   CHECK(EventsOf(answer) == expected);
--- a/Tests/Forwarding/StreamRerouteTest.cxx
+++ b/Tests/Forwarding/StreamRerouteTest.cxx
@@ -70,7 +70,7 @@
   }
   std::string Ask(const std::string& aPath)
   {
-    return m_fixture->Ask("POST", aPath, kStreamHeader, "prompt");
+    return m_fixture->SendRequest("POST", aPath, kStreamHeader, "prompt");
   }
 
   // Starts one engine for all layers. The engine answers probes by aAnswer,
@@ -235,7 +235,7 @@
   m_other = &m_fixture->AddEngine(0, 4);
   m_first->SetScript(WithEngineState(StreamAll));
   m_other->SetScript(WithEngineState(StreamAll));
-  m_fixture->Suspect(*m_first);
+  m_fixture->ReportSuspected(*m_first);
   m_fixture->Start();
   CHECK(m_fixture->RunUntil([this] {
     return m_fixture->m_sink.Has(
@@ -264,7 +264,7 @@
   AnswerOrders("202 Accepted", [&](const HttpRequest& aStream) {
     unresponsive = UsesOther(aStream) ? m_other : m_spare;
     unresponsive->SetScript(hang);
-    m_fixture->Suspect(*unresponsive);
+    m_fixture->ReportSuspected(*unresponsive);
   });
   CheckAllEventsOnce(Ask("/stream/x"));
   CHECK_EQUAL(1, m_orders);
@@ -310,7 +310,7 @@
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 4);
   m_first->SetScript(WithEngineState(StreamAll));
-  m_fixture->Suspect(*m_first);
+  m_fixture->ReportSuspected(*m_first);
   m_fixture->Start();
   CHECK(m_fixture->RunUntil([this] {
     return m_fixture->m_sink.Has(
