--- a/Source/Consensus/FollowerDuty.cxx
+++ b/Source/Consensus/FollowerRole.cxx
@@ -1,5 +1,5 @@
 // What a follower does: takes entries and snapshots from its leader.
-#include "Consensus/FollowerDuty.h"
+#include "Consensus/FollowerRole.h"
 
 #include <algorithm>
 
--- a/Source/Consensus/LeaderDuty.cxx
+++ b/Source/Consensus/LeaderRole.cxx
@@ -1,5 +1,5 @@
 // What a leader does: replicates, commits, confirms reads, keeps its lease.
-#include "Consensus/LeaderDuty.h"
+#include "Consensus/LeaderRole.h"
 
 #include <algorithm>
 
--- a/Source/Consensus/ReplicaParts.h
+++ b/Source/Consensus/ReplicaParts.h
@@ -5,8 +5,8 @@
 #include <optional>
 
 #include "Consensus/Election.h"
-#include "Consensus/FollowerDuty.h"
-#include "Consensus/LeaderDuty.h"
+#include "Consensus/FollowerRole.h"
+#include "Consensus/LeaderRole.h"
 #include "Consensus/Replica.h"
 #include "Consensus/ReplicaState.h"
 
