--- a/Source/Consensus/Election.cxx
+++ b/Source/Consensus/Election.cxx
@@ -1,4 +1,5 @@
-// Pre-votes and votes, for oneself and for others.
+// Elections: requests pre-votes and votes as a candidate, and answers those of
+// other candidates.
 #include "Consensus/Election.h"
 
 #include <algorithm>
--- a/Source/Consensus/Election.h
+++ b/Source/Consensus/Election.h
@@ -1,4 +1,5 @@
-// Pre-votes and votes, for oneself and for others.
+// Elections: requests pre-votes and votes as a candidate, and answers those of
+// other candidates.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +12,9 @@
 
 class ReplicaState;
 
-// A candidate first asks whether it could win, without a new term; so that one
-// that was cut off does not disturb the others when it comes back.
+// A candidate first requests pre-votes, which do not raise the term. A replica
+// that was partitioned from the group therefore does not force a new election
+// when it reconnects.
 class Election
 {
 public:
@@ -34,20 +36,21 @@
   void OnVoteReply(TimePoint aNow,
                    std::uint64_t aFrom,
                    const consensus::VoteReplyT& aBody);
-  // The own vote counts once it is stored.
+  // Counts the candidate's vote for itself, which must be stored first.
   void OnPersisted();
-  // True once a quorum voted for this candidate.
+  // Returns whether a quorum has voted for this candidate.
   bool IsWon() const;
 
 private:
   void StartPreVote(TimePoint aNow);
   void StartVote(TimePoint aNow);
   bool HasQuorum() const;
+  // Sends the request to all other voters; if aAfterSync, after the next sync.
   template<typename Body>
   void RequestVotes(const Body& aBody, bool aAfterSync);
 
   ReplicaState& m_state;
-  std::set<std::uint64_t> m_granted; // of the current role's round
+  std::set<std::uint64_t> m_granted; // who granted the current (pre-)vote
 };
 
 } // namespace parsleycove
--- a/Source/Consensus/FollowerRole.cxx
+++ b/Source/Consensus/FollowerRole.cxx
@@ -1,4 +1,5 @@
-// What a follower does: takes entries and snapshots from its leader.
+// The follower's role: receives log entries and snapshots from the leader, and
+// forwards reads to the leader.
 #include "Consensus/FollowerRole.h"
 
 #include <algorithm>
@@ -9,7 +10,8 @@
 
 namespace {
 
-// The log's indices must never get a gap, whatever a message says.
+// Returns whether the entries' indices are contiguous. The log must never get a
+// gap, also not by a malformed message.
 bool
 IsContiguous(const consensus::AppendT& aBody)
 {
@@ -37,7 +39,8 @@
   reply.term = m_state.m_hard.term;
   reply.probe = aBody.probe;
   if (m_receiver.IsInstalling()) {
-    // The log is about to be replaced; nothing may be promised on it.
+    // The snapshot is about to replace the log, so the answer must not confirm
+    // any entry: its match index stays 0.
     reply.success = true;
     m_state.SendAfterSync(aFrom, reply);
     return;
--- a/Source/Consensus/LeaderRole.cxx
+++ b/Source/Consensus/LeaderRole.cxx
@@ -1,4 +1,5 @@
-// What a leader does: replicates, commits, confirms reads, keeps its lease.
+// The leader's role: replicates and commits log entries, confirms reads and
+// maintains the leader lease.
 #include "Consensus/LeaderRole.h"
 
 #include <algorithm>
--- a/Source/Consensus/MembershipHistory.cxx
+++ b/Source/Consensus/MembershipHistory.cxx
@@ -1,4 +1,4 @@
-// The memberships that the log holds, by the index of their entry.
+// The memberships in the log, by the index of their log entry.
 #include "Consensus/MembershipHistory.h"
 
 #include "Consensus/MembershipRules.h"
--- a/Source/Consensus/MembershipHistory.h
+++ b/Source/Consensus/MembershipHistory.h
@@ -1,4 +1,4 @@
-// The memberships that the log holds, by the index of their entry.
+// The memberships in the log, by the index of their log entry.
 #pragma once
 
 #include <cstdint>
@@ -8,21 +8,22 @@
 
 namespace parsleycove {
 
-// A membership counts from its entry's append on, so that a truncated entry
-// brings the one before it back.
+// A membership is in force as soon as its entry is appended, before it commits.
+// Truncating the entry therefore restores the previous membership.
 class MembershipHistory
 {
 public:
   const consensus::MembershipT& Latest() const;
-  // Index of the latest membership's entry.
+  // Returns the index of the latest membership's entry, or 0 if there is none.
   std::uint64_t LatestIndex() const;
-  // The membership that holds at an index of the log.
+  // Returns the membership in force at an index of the log.
   const consensus::MembershipT& At(std::uint64_t aIndex) const;
 
   void Add(std::uint64_t aIndex, consensus::MembershipT aMembership);
-  // Takes the entry's membership if it is of that kind.
+  // Adds the membership of an entry of that kind; ignores other entries.
   void AddEntry(const consensus::EntryT& aEntry);
   void TruncateFrom(std::uint64_t aIndex);
+  // Discards memberships that were replaced at aIndex or before.
   void Compact(std::uint64_t aIndex);
   void Reset(std::uint64_t aIndex, consensus::MembershipT aMembership);
 
@@ -33,7 +34,7 @@
     consensus::MembershipT m_membership;
   };
 
-  std::vector<Row> m_rows; // by rising index
+  std::vector<Row> m_rows; // sorted by index
   consensus::MembershipT m_none;
 };
 
--- a/Source/Consensus/MembershipRules.cxx
+++ b/Source/Consensus/MembershipRules.cxx
@@ -1,4 +1,4 @@
-// What a membership may be, and how it may change.
+// Rules for a valid membership and for a valid change of a membership.
 #include "Consensus/MembershipRules.h"
 
 #include <algorithm>
@@ -85,7 +85,8 @@
     if (FindMember(aMembership, member->replica) != member.get()) {
       return "membership: " + NameMember(*member) + " is listed twice";
     }
-    // Founders that know each other by address only have no zone to judge by.
+    // Founding members that know each other only by address have no zone, so
+    // the rule of the zones cannot be checked for them.
     if (member->zone.empty()) {
       continue;
     }
@@ -114,7 +115,7 @@
     }
     if (before && before->voter && !member->voter) {
       return "membership: " + NameMember(*member) +
-             " would turn from voter to learner; expected its removal";
+             " would change from voter to learner; expected its removal";
     }
     const bool same = before && before->voter == member->voter &&
                       HasSameAddress(*before, *member);
--- a/Source/Consensus/MembershipRules.h
+++ b/Source/Consensus/MembershipRules.h
@@ -1,4 +1,4 @@
-// What a membership may be, and how it may change.
+// Rules for a valid membership and for a valid change of a membership.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace parsleycove {
 
-// Returns null for a replica that is no member.
+// Returns nullptr for a replica that is not a member.
 const consensus::MemberT*
 FindMember(const consensus::MembershipT& aMembership, std::uint64_t aReplica);
 
@@ -20,37 +20,38 @@
 std::size_t
 CountVoters(const consensus::MembershipT& aMembership);
 
-// The smallest number of voters that decides.
+// Returns the number of voters that form a majority.
 std::size_t
 QuorumSize(const consensus::MembershipT& aMembership);
 
-// Returns why this cannot be a membership, or nothing.
+// Returns why the membership is not valid, or std::nullopt if it is valid.
 //
-// In a group of three voters or more, no availability zone alone may hold a
-// majority; otherwise a zone that is cut off would decide alone.
+// In a group of three or more voters, no availability zone may hold a majority.
+// Otherwise a zone that is partitioned from the others could commit alone.
 std::optional<std::string>
 FindMembershipFault(const consensus::MembershipT& aMembership);
 
-// Returns why aNext must not follow aCurrent, or nothing. A step adds one
-// learner, promotes one learner, removes one member or moves one to another
-// address.
+// Returns why aNext must not follow aCurrent, or std::nullopt if it may. A
+// change adds one learner, promotes one learner, removes one member or moves
+// one member to another address.
 std::optional<std::string>
 FindChangeFault(const consensus::MembershipT& aCurrent,
                 const consensus::MembershipT& aNext);
 
-// The learner that aNext makes a voter, or 0.
+// Returns the learner that aNext promotes to a voter, or 0.
 std::uint64_t
 FindPromoted(const consensus::MembershipT& aCurrent,
              const consensus::MembershipT& aNext);
 
-// Brings the members into the order of their ids, so that equal memberships
-// are equal byte for byte.
+// Sorts the members by their ids, so that equal memberships have equal
+// encodings.
 void
 SortMembers(consensus::MembershipT& aMembership);
 
 std::vector<std::uint8_t>
 EncodeMembership(const consensus::MembershipT& aMembership);
 
+// Returns std::nullopt if the bytes do not encode a membership.
 std::optional<consensus::MembershipT>
 DecodeMembership(const std::vector<std::uint8_t>& aBytes);
 
--- a/Source/Consensus/Progress.cxx
+++ b/Source/Consensus/Progress.cxx
@@ -1,11 +1,11 @@
-// What a leader knows of one member's log.
+// Tracks the leader's replication progress of one member.
 #include "Consensus/Progress.h"
 
 namespace parsleycove {
 
 namespace {
 
-// A member that answers nothing must not make its list grow for ever.
+// Bounds the list of unanswered messages of a member that never answers.
 constexpr std::size_t kMaxUnanswered = 1024;
 
 } // namespace
--- a/Source/Consensus/Progress.h
+++ b/Source/Consensus/Progress.h
@@ -1,4 +1,4 @@
-// What a leader knows of one member's log.
+// Tracks the leader's replication progress of one member.
 #pragma once
 
 #include <cstdint>
@@ -10,9 +10,9 @@
 
 enum class ProgressState
 {
-  Probe,     // one message at a time, until the logs are known to meet
-  Replicate, // messages follow one another without waiting
-  Snapshot,  // the member needs entries that are dropped here
+  Probe,     // one message at a time, until a matching entry is known
+  Replicate, // messages are pipelined, without waiting for answers
+  Snapshot,  // the member needs entries that the leader has compacted
 };
 
 class Progress
@@ -24,26 +24,29 @@
   {
   }
 
-  // Notes a message on its way.
+  // Records that an append or heartbeat was sent.
   void RecordSent(std::uint64_t aProbe, TimePoint aNow, bool aWithEntries);
-  // Takes the answer to a message; answers may come in any order.
+  // Records the answer to a message. Answers may arrive in any order; an answer
+  // also ends the wait for the answers to earlier messages.
   void RecordAck(std::uint64_t aProbe);
+  // Returns the number of unanswered appends with entries.
   std::size_t CountInflight() const { return m_inflight; }
 
   std::uint64_t m_replica;
   ProgressState m_state = ProgressState::Probe;
-  std::uint64_t m_match = 0; // stored there, never falls
-  std::uint64_t m_next;      // > m_match
-  bool m_paused = false;     // Probe: an answer is awaited
-  std::uint64_t m_sentCommit = 0;
+  std::uint64_t m_match = 0;      // match index, never decreases
+  std::uint64_t m_next;           // next index, > m_match
+  bool m_paused = false;          // in state Probe, waits for an answer
+  std::uint64_t m_sentCommit = 0; // last commit index sent
 
-  // The snapshot under way, and from where on the member lacks it.
+  // Index of the snapshot being sent, the offset of the next chunk in bytes,
+  // and when the chunk was requested.
   std::uint64_t m_snapshotIndex = 0;
   std::uint64_t m_snapshotOffset = 0;
   TimePoint m_snapshotRequestedAt{};
 
   std::uint64_t m_ackedProbe = 0;
-  // When the latest answered message went out.
+  // When the message of m_ackedProbe was sent.
   TimePoint m_ackedSentAt = TimePoint::min();
 
 private:
@@ -56,8 +59,8 @@
 
   void PopSent();
 
-  std::deque<Sent> m_sent;    // by rising probe
-  std::size_t m_inflight = 0; // those of m_sent with entries
+  std::deque<Sent> m_sent;    // in order of the probe number
+  std::size_t m_inflight = 0; // messages in m_sent that carry entries
 };
 
 } // namespace parsleycove
--- a/Source/Consensus/RaftLog.cxx
+++ b/Source/Consensus/RaftLog.cxx
@@ -1,4 +1,5 @@
-// The entries of the log in memory, with what is committed and what is stored.
+// The log entries in memory, with the commit index, the last applied index and
+// the last index that the store has synced.
 #include "Consensus/RaftLog.h"
 
 #include <algorithm>
@@ -111,7 +112,8 @@
 void
 RaftLog::MarkPersisted()
 {
-  // A truncation meanwhile replaced what was synced; the next sync tells.
+  // If the terms differ, a truncation has replaced the synced entries in the
+  // meantime; the replacements count after the next sync.
   if (TermAt(m_syncingIndex) == m_syncingTerm) {
     m_persisted = std::max(m_persisted, std::min(m_syncingIndex, m_submitted));
   }
--- a/Source/Consensus/RaftLog.h
+++ b/Source/Consensus/RaftLog.h
@@ -1,4 +1,5 @@
-// The entries of the log in memory, with what is committed and what is stored.
+// The log entries in memory, with the commit index, the last applied index and
+// the last index that the store has synced.
 #pragma once
 
 #include <cstdint>
@@ -25,46 +26,54 @@
   std::uint64_t AppliedIndex() const { return m_applied; }
   std::uint64_t PersistedIndex() const { return m_persisted; }
 
-  // Nothing for an index before the base or after the end.
+  // Returns std::nullopt for an index before the base or after the last entry.
   std::optional<std::uint64_t> TermAt(std::uint64_t aIndex) const;
+  // Returns whether a log that ends with this index and term is at least as
+  // up-to-date as this log.
   bool IsUpToDate(std::uint64_t aLastIndex, std::uint64_t aLastTerm) const;
   const consensus::EntryT& At(std::uint64_t aIndex) const;
 
   void Append(consensus::EntryT aEntry);
   void TruncateFrom(std::uint64_t aIndex);
-  // Where a leader should try next if the entry at aIndex is not ours.
+  // Returns the index at which the leader should probe next, after the entry at
+  // aIndex did not match. Skips all entries of the conflicting term at once,
+  // but not below the commit index.
   std::uint64_t ConflictHint(std::uint64_t aIndex) const;
-  // Entries from aFrom on, at least one if there is any.
+  // Returns entries from aFrom on, up to aMaxBytes of data, but at least one
+  // entry if there is any.
   std::vector<consensus::EntryT> Slice(std::uint64_t aFrom,
                                        std::size_t aMaxBytes) const;
 
-  // Entries that the store has not been given yet.
+  // Entries that were not submitted to the store yet.
   bool HasUnstored() const { return m_submitted < LastIndex(); }
   std::vector<consensus::EntryT> TakeUnstored();
-  // What was taken last is synced.
+  // Records that the entries of the last TakeUnstored are synced.
   void MarkPersisted();
 
+  // Raises the commit index, at most to the last index; never lowers it.
   void AdvanceCommitIndex(std::uint64_t aIndex);
-  // Whether entries are committed and stored, but not applied.
+  // Returns whether there are entries that are committed and synced, but not
+  // applied.
   bool HasCommitted() const;
   std::vector<consensus::EntryT> TakeCommitted();
 
-  // Drops entries behind a stored snapshot, but for a tail.
+  // Discards the entries up to the index of a stored snapshot, except for the
+  // last aTailEntries.
   void Compact(std::uint64_t aIndex, std::uint64_t aTailEntries);
-  // Starts anew behind an installed snapshot.
+  // Replaces the log by an empty one that starts after an installed snapshot.
   void Reset(std::uint64_t aIndex, std::uint64_t aTerm);
 
 private:
-  // m_entries[i] has index m_baseIndex + 1 + i, without gaps.
+  // m_entries[i] has the index m_baseIndex + 1 + i.
   std::deque<consensus::EntryT> m_entries;
   std::uint64_t m_baseIndex = 0;
   std::uint64_t m_baseTerm = 0;
   std::uint64_t m_snapshotIndex = 0; // >= m_baseIndex
-  std::uint64_t m_commit = 0;        // never falls
+  std::uint64_t m_commit = 0;        // never decreases
   std::uint64_t m_applied = 0;       // <= m_commit
-  std::uint64_t m_persisted = 0;     // synced up to here, <= m_submitted
-  std::uint64_t m_submitted = 0;     // given to the store up to here
-  // Last entry of what the store is syncing.
+  std::uint64_t m_persisted = 0;     // last synced index, <= m_submitted
+  std::uint64_t m_submitted = 0;     // last index given to the store
+  // Index and term of the last entry that the store is syncing.
   std::uint64_t m_syncingIndex = 0;
   std::uint64_t m_syncingTerm = 0;
 };
--- a/Source/Consensus/ReadIndexQueue.cxx
+++ b/Source/Consensus/ReadIndexQueue.cxx
@@ -1,4 +1,5 @@
-// Reads that wait for a quorum's word, on a leader and on a follower.
+// ReadIndex requests that wait for confirmation, on the leader and on a
+// follower.
 #include "Consensus/ReadIndexQueue.h"
 
 #include <algorithm>
@@ -9,7 +10,7 @@
 
 namespace {
 
-// Moves the reads that match out of the list, in their order.
+// Removes the reads that match from the list and returns them in order.
 template<typename Read, typename Predicate>
 std::vector<Read>
 TakeIf(std::vector<Read>& aReads, Predicate aPredicate)
--- a/Source/Consensus/Replica.cxx
+++ b/Source/Consensus/Replica.cxx
@@ -1,4 +1,4 @@
-// One member of the replicated log, without input or output of its own.
+// One member of a Raft group, as a state machine without I/O.
 #include "Consensus/Replica.h"
 
 #include <algorithm>
--- a/Source/Consensus/Replica.h
+++ b/Source/Consensus/Replica.h
@@ -1,4 +1,5 @@
-// One member of the replicated log, without input or output of its own.
+// One member of a Raft group, as a state machine without I/O. The caller
+// stores, sends and applies what TakeReady returns.
 #pragma once
 
 #include <cstdint>
@@ -24,8 +25,9 @@
 {
   None,
   NotLeader,
-  // Another membership change is under way, or no entry of this term is
-  // committed yet.
+  // The membership change may succeed later: an earlier change or the first
+  // entry of this term is not committed yet, the learner to promote lags
+  // behind, or too few voters answer.
   NotNow,
   Invalid,
 };
@@ -36,76 +38,87 @@
   std::uint64_t m_replica = 0;
   std::uint64_t m_cluster = 0;
   Duration m_heartbeatInterval = std::chrono::milliseconds(100);
-  // An election starts between one and two of these without a leader.
+  // A replica that hears from no leader starts an election after a random time
+  // between one and two election timeouts.
   Duration m_electionTimeout = std::chrono::milliseconds(700);
-  // A leader acts as one for this long after a quorum's round trip began;
-  // shorter than the election time-out.
+  // Duration of the leader lease, counted from the send time of messages that a
+  // quorum has answered. Shorter than the election timeout, so that the lease
+  // ends before another leader can be elected.
   Duration m_leaderLease = std::chrono::milliseconds(500);
   std::size_t m_maxAppendBytes = 256UL * 1024;
   std::size_t m_maxInflightAppends = 16;
   std::size_t m_snapshotChunkBytes = 256UL * 1024;
-  // Entries kept in memory behind a snapshot for members that lag.
+  // Number of entries before a snapshot's index that stay in memory, for
+  // members that lag behind.
   std::uint64_t m_compactionTailEntries = 1024;
-  // A read that nobody answered fails after this long.
+  // A ReadIndex request that was not confirmed fails after this time.
   Duration m_readTimeout = std::chrono::seconds(2);
   std::uint64_t m_seed = 1;
 };
 
-// What the store held at the start.
+// Contents of the store when the replica starts.
 struct RestoredLog
 {
   consensus::HardStateT m_hardState;
   std::optional<consensus::SnapshotMetaT> m_snapshot;
-  // Entries that follow the snapshot, without gaps.
+  // The entries after the snapshot, with contiguous indices.
   std::vector<consensus::EntryT> m_entries;
 };
 
-// Answer to ReadIndex: once the state has applied m_index, a read is current.
+// Answer to ReadIndex. A read from the state machine is linearizable once the
+// state machine has applied the log up to m_index.
 struct ReadState
 {
   std::uint64_t m_id = 0;
   std::uint64_t m_index = 0;
   bool m_ok = false;
-  // When the request began; leases that rest on the answer count from here.
+  // When the request was made. Leases that are granted because of the answer
+  // start at this time.
   TimePoint m_requestedAt{};
 };
 
-// A follower's ReadIndex with its report, for the leader's own bookkeeping.
+// A follower's ReadIndex request, which also carries a report of the follower.
+// The caller on the leader evaluates the report.
 struct FollowerReport
 {
   std::uint64_t m_replica = 0;
   consensus::ReadIndexT m_request;
 };
 
-// A chunk of a snapshot that a member needs; the shell reads and sends it.
+// A snapshot chunk that a member needs. The caller reads the chunk and passes
+// it to SendSnapshotChunk.
 struct SnapshotChunkRequest
 {
   std::uint64_t m_to = 0;
-  std::uint64_t m_index = 0; // index of the snapshot in question
-  std::uint64_t m_offset = 0;
+  std::uint64_t m_index = 0;  // last index that the snapshot covers
+  std::uint64_t m_offset = 0; // of the chunk in the snapshot, in bytes
 };
 
-// A received chunk of a snapshot; the shell stores it, and installs the whole
-// durably after the last chunk before it calls SnapshotInstalled.
+// A received snapshot chunk, to be stored by the caller. After the last chunk,
+// the caller installs the complete snapshot durably and then calls
+// SnapshotInstalled.
 struct SnapshotChunk
 {
   std::uint64_t m_from = 0;
   consensus::InstallSnapshotT m_chunk;
 };
 
-// Work for the shell, in this order: store hard state and entries and sync
-// once; then call Persisted and send the messages; apply committed entries.
+// Work for the caller, in this order: store the hard state and the entries and
+// sync once; call Persisted and send the messages; apply the committed entries.
 //
-// Between a Ready that needs a sync and its Persisted, TakeReady may be called
-// again: it then returns only what rests on nothing unsynced.
+// TakeReady may be called again between a Ready that needs a sync and the call
+// of Persisted. It then returns only work that does not depend on unsynced
+// data.
 struct Ready
 {
   std::optional<consensus::HardStateT> m_hardState;
-  // Replaces everything stored from the first entry's index on.
+  // Replace all stored entries from the index of the first one on.
   std::vector<consensus::EntryT> m_entries;
-  // These promise what is stored above; send them only after the sync.
+  // Messages that depend on the hard state and entries above (votes, answers to
+  // appends). Must be sent only after the sync.
   std::vector<consensus::PeerMessageT> m_messages;
-  // Heartbeats and appends of a leader, which may go out before the sync.
+  // Messages that may be sent before the sync, such as heartbeats and appends
+  // of a leader.
   std::vector<consensus::PeerMessageT> m_earlyMessages;
   std::vector<consensus::EntryT> m_committed;
   std::vector<ReadState> m_reads;
@@ -114,15 +127,15 @@
   std::vector<SnapshotChunk> m_chunks;
 
   bool IsEmpty() const;
-  // Whether there is something to store, so that Persisted must follow.
+  // Returns whether there is data to store, so that Persisted must be called.
   bool NeedsSync() const;
 };
 
-// A replica of the log by Raft's published rules: pre-vote, check-quorum,
-// leader lease, ReadIndex, snapshots in chunks, single-step membership.
+// A Raft replica with pre-vote, check quorum, leader lease, ReadIndex,
+// snapshots in chunks and membership changes of one member at a time.
 //
-// Every call takes the current time; nothing here reads a clock, blocks or
-// draws randomness other than from the seed.
+// Deterministic: every call takes the current time, and no method reads a
+// clock, blocks, or uses randomness other than from the seed.
 class Replica
 {
 public:
@@ -131,52 +144,60 @@
   Replica(const Replica&) = delete;
   Replica& operator=(const Replica&) = delete;
 
-  // First membership of a new cluster. Only on an empty log, once. Every
-  // founding member must be given the same one.
+  // Sets the first membership of a new cluster. Returns false if this
+  // replica already has a term or a log, or if the membership is not valid. All
+  // founding members must be given the same membership.
   bool Bootstrap(consensus::MembershipT aMembership);
 
   void Tick(TimePoint aNow);
   void Step(TimePoint aNow, const consensus::PeerMessageT& aMessage);
 
-  // Returns the index that the command will have if it commits in this term.
+  // Returns the index that the command will have if it commits in this term, or
+  // std::nullopt if this replica is not the leader.
   std::optional<std::uint64_t> Propose(TimePoint aNow,
                                        std::vector<std::uint8_t> aCommand);
-  // Adds, promotes or removes one member.
+  // Adds, promotes or removes one member, or changes its address. Returns the
+  // index of the entry, or std::nullopt with LastReason set.
   std::optional<std::uint64_t> ProposeMembership(TimePoint aNow,
                                                  consensus::MembershipT aNext);
-  // Asks for a quorum-confirmed read; the answer comes in Ready::m_reads, also
-  // a failed one. On a follower the request goes to the leader.
+  // Requests the confirmation of a read by a quorum. The answer, also a
+  // negative one, comes in Ready::m_reads. A follower forwards the request to
+  // the leader.
   void ReadIndex(TimePoint aNow, consensus::ReadIndexT aRequest);
 
   bool HasReady() const;
   Ready TakeReady();
-  // The shell has synced what the last TakeReady returned.
+  // Tells the replica that the caller has synced the data of the last Ready
+  // that needed a sync.
   void Persisted(TimePoint aNow);
-  // The state covers the log up to here in a stored snapshot; drops the log
-  // before it but for a tail that slow members may need.
+  // Discards the log up to the index of a stored snapshot, except for the last
+  // m_compactionTailEntries entries, which slow members may need. Does nothing
+  // for an index that is not applied yet.
   void Compact(const consensus::SnapshotMetaT& aMeta);
-  // Index, term and membership of a snapshot of the state at an applied index;
-  // nothing for an index that is not in the log. The shell adds the size and
-  // the checksum.
+  // Returns index, term and membership for a snapshot of the state at an
+  // applied index, or std::nullopt if the log does not hold the index or the
+  // index is not applied. The caller adds the size and the checksum.
   std::optional<consensus::SnapshotMetaT> DescribeSnapshot(
     std::uint64_t aIndex) const;
-  // A received snapshot has been stored and applied whole.
+  // Tells the replica that a received snapshot has been stored and applied.
   void SnapshotInstalled(TimePoint aNow, consensus::SnapshotMetaT aMeta);
-  // A received snapshot was not what its checksum says; asks for it again.
+  // Tells the replica that a received snapshot failed its checksum. The
+  // snapshot is then received again from its first byte.
   void SnapshotRejected(TimePoint aNow);
-  // A requested chunk was read; goes out as a message.
+  // Sends a chunk that Ready::m_chunkRequests asked for.
   void SendSnapshotChunk(std::uint64_t aTo, consensus::InstallSnapshotT aChunk);
 
   ReplicaRole Role() const;
-  std::uint64_t Leader() const; // 0: unknown
+  std::uint64_t Leader() const; // 0 if unknown
   std::uint64_t Term() const;
   std::uint64_t CommitIndex() const;
   std::uint64_t LastIndex() const;
   const consensus::MembershipT& Members() const;
-  std::uint64_t MatchIndex(std::uint64_t aReplica) const; // leader only
-  // True while no other replica can have become leader.
+  std::uint64_t MatchIndex(std::uint64_t aReplica) const; // 0 if not leader
+  // Returns whether this replica is the leader and no other replica can have
+  // become leader.
   bool HasLeaderLease(TimePoint aNow) const;
-  // When Tick is next worth calling.
+  // Returns when Tick has to be called next.
   TimePoint NextDeadline() const;
   const ReplicaReason& LastReason() const { return m_reason; }
 
--- a/Source/Consensus/ReplicaParts.cxx
+++ b/Source/Consensus/ReplicaParts.cxx
@@ -1,4 +1,4 @@
-// The parts of a replica, and which of them takes which message.
+// The parts of a replica, and the dispatch of messages to them.
 #include "Consensus/ReplicaParts.h"
 
 #include <string>
@@ -121,10 +121,11 @@
   const std::uint64_t promoted = FindPromoted(current, aNext);
   if (promoted != 0 && MatchIndex(promoted) < m_state.m_log.CommitIndex()) {
     return notNow("membership: replica " + std::to_string(promoted) +
-                  " has not stored all that is committed");
+                  " has not stored all committed entries");
   }
   if (!m_leader.HasLiveQuorum(aNow, aNext)) {
-    return notNow("membership: too few of the voters that would remain answer");
+    return notNow("membership: no quorum of the voters that would remain "
+                  "gave an answer within an election timeout");
   }
   return std::nullopt;
 }
--- a/Source/Consensus/ReplicaParts.h
+++ b/Source/Consensus/ReplicaParts.h
@@ -1,4 +1,5 @@
-// The parts of a replica, and which of them takes which message.
+// The parts of a replica: shared state, election, follower and leader roles.
+// Dispatches each received message to the part that handles it.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +17,19 @@
 {
   Parts(const ReplicaOptions& aOptions, RestoredLog aRestored, TimePoint aNow);
 
-  // A frozen process may wake long after its time; so every call looks first.
+  // Makes a leader without a quorum step down. Runs before every call, since a
+  // process that was frozen may resume long after its lease has expired.
   void CheckQuorum(TimePoint aNow);
   void Dispatch(TimePoint aNow,
                 std::uint64_t aFrom,
                 const consensus::PeerBodyUnion& aBody);
   void StartLeadingIfWon(TimePoint aNow);
-  // Returns why a membership cannot be proposed now, or nothing.
+  // Returns why the membership cannot be proposed now, or std::nullopt if it
+  // can.
   std::optional<ReplicaReason> FindChangeRejection(
     TimePoint aNow,
     const consensus::MembershipT& aNext) const;
+  // Returns 0 for a replica that is not a member, and on a follower.
   std::uint64_t MatchIndex(std::uint64_t aReplica) const;
 
   ReplicaState m_state;
--- a/Source/Consensus/ReplicaState.cxx
+++ b/Source/Consensus/ReplicaState.cxx
@@ -1,4 +1,4 @@
-// What the parts of a replica share: log, term, role and outgoing work.
+// State that the roles of a replica share: log, term, role and outgoing work.
 #include "Consensus/ReplicaState.h"
 
 #include <algorithm>
@@ -16,7 +16,8 @@
   return (aOptions.m_seed + aOptions.m_replica) * kMultiplier;
 }
 
-// Differs between two runs of one replica, as they start at different times.
+// Returns a value that differs between two runs of a replica, since the runs
+// start at different times.
 std::uint64_t
 MakeNonce(const ReplicaOptions& aOptions, TimePoint aNow)
 {
--- a/Source/Consensus/ReplicaState.h
+++ b/Source/Consensus/ReplicaState.h
@@ -1,4 +1,4 @@
-// What the parts of a replica share: log, term, role and outgoing work.
+// State that the roles of a replica share: log, term, role and outgoing work.
 #pragma once
 
 #include <cstdint>
@@ -23,15 +23,16 @@
   std::uint64_t Self() const { return m_options.m_replica; }
   bool IsLeader() const { return m_role == ReplicaRole::Leader; }
   bool IsSelfVoter() const;
-  // True while a live leader may hold a lease that rests on this replica: it
-  // leads itself, has heard from a leader within the minimum election time-out
-  // or has not run for that long. Also true for an empty log: no voter of a
-  // group has one, unless it lost its disk.
+  // Returns whether this replica must deny votes, since a leader may hold a
+  // lease that counts on this replica: the replica leads itself, it has heard
+  // from a leader within the minimum election timeout, or it started less than
+  // that time ago. Also true for an empty log: a voter of a group has an empty
+  // log only if it lost its disk.
   bool MustDenyVotes(TimePoint aNow) const;
 
   void SetTerm(std::uint64_t aTerm, std::uint64_t aVote);
-  // Ends any other role; a higher term forgets the vote. All reads fail when
-  // the role, the term or the leader changes.
+  // Becomes a follower of aLeader (0 if unknown). A higher term resets the
+  // vote. All pending reads fail if the role, the term or the leader changes.
   void BecomeFollower(TimePoint aNow,
                       std::uint64_t aTerm,
                       std::uint64_t aLeader);
@@ -41,13 +42,13 @@
   void AppendEntry(consensus::EntryT aEntry);
   void TruncateFrom(std::uint64_t aIndex);
 
-  // Sends what promises stored data, after the sync.
+  // Sends a message that depends on stored data, after the next sync.
   template<typename Body>
   void SendAfterSync(std::uint64_t aTo, Body aBody)
   {
     m_out.m_messages.push_back(Address(aTo, std::move(aBody)));
   }
-  // Sends what rests on nothing unsynced.
+  // Sends a message that does not depend on unsynced data.
   template<typename Body>
   void SendImmediately(std::uint64_t aTo, Body aBody)
   {
@@ -55,7 +56,7 @@
   }
 
   void AnswerRead(const WaitingRead& aRead, bool aOk);
-  // Fails every read that began then or before.
+  // Fails all reads that were requested at aRequestedUntil or before.
   void FailReads(TimePoint aRequestedUntil);
 
   const ReplicaOptions m_options;
@@ -63,7 +64,7 @@
   MembershipHistory m_members;
   consensus::HardStateT m_hard;
   bool m_hardChanged = false;
-  bool m_syncing = false; // a Ready is at the store; Persisted will follow
+  bool m_syncing = false; // a Ready waits for its Persisted call
   ReplicaRole m_role = ReplicaRole::Follower;
   std::uint64_t m_leader = 0;
   TimePoint m_electionDeadline{};
--- a/Source/Consensus/ReplicationTracker.cxx
+++ b/Source/Consensus/ReplicationTracker.cxx
@@ -1,4 +1,4 @@
-// A leader's knowledge of all members, and what a quorum of them says.
+// Tracks the leader's replication progress of all members.
 #include "Consensus/ReplicationTracker.h"
 
 #include <algorithm>
@@ -11,7 +11,8 @@
 
 namespace {
 
-// Returns the highest value that a quorum of voters has reached.
+// Returns the highest value that a quorum of voters has reached, or aLowest if
+// there are no voters.
 template<typename Value, typename ValueOf>
 Value
 QuorumValue(const consensus::MembershipT& aMembership,
--- a/Source/Consensus/ReplicationTracker.h
+++ b/Source/Consensus/ReplicationTracker.h
@@ -1,4 +1,5 @@
-// A leader's knowledge of all members, and what a quorum of them says.
+// Tracks the leader's replication progress of all members, and computes values
+// that a quorum of the voters has reached.
 #pragma once
 
 #include <cstdint>
@@ -18,27 +19,33 @@
   }
 
   void Clear() { m_members.clear(); }
-  // Follows a membership; a new member starts to be probed at aNext.
+  // Adds and removes members by the membership. A new member has the next index
+  // aNext.
   void UpdateMembers(const consensus::MembershipT& aMembership,
                      std::uint64_t aNext);
 
-  // Returns null for a replica that is no member, and for the leader itself.
+  // Returns nullptr for a replica that is not a member, and for the leader
+  // itself.
   Progress* Find(std::uint64_t aReplica);
   const Progress* Find(std::uint64_t aReplica) const;
   std::vector<Progress>& Members() { return m_members; }
 
-  // The highest index that a quorum of voters has stored.
+  // Returns the highest index that a quorum of voters has stored. aOwnMatch is
+  // the last index that the leader itself has stored.
   std::uint64_t QuorumMatch(const consensus::MembershipT& aMembership,
                             std::uint64_t aOwnMatch) const;
-  // The latest time at which a quorum's answered messages had gone out.
+  // Returns the latest time such that a quorum of voters has answered a message
+  // sent at this time or later. The leader itself counts with aNow. Returns
+  // TimePoint::min() if no quorum has answered.
   TimePoint QuorumSentAt(const consensus::MembershipT& aMembership,
                          TimePoint aNow) const;
-  // The highest probe that a quorum has answered, the leader itself included.
+  // Returns the highest probe number that a quorum of voters has answered; the
+  // leader itself counts as having answered all.
   std::uint64_t QuorumProbe(const consensus::MembershipT& aMembership) const;
 
 private:
   std::uint64_t m_self;
-  std::vector<Progress> m_members; // without the leader itself
+  std::vector<Progress> m_members; // all members except the leader itself
 };
 
 } // namespace parsleycove
--- a/Source/Consensus/SnapshotReceiver.cxx
+++ b/Source/Consensus/SnapshotReceiver.cxx
@@ -1,4 +1,4 @@
-// Order of the chunks of a snapshot that a follower receives.
+// Checks the order of the snapshot chunks that a follower receives.
 #include "Consensus/SnapshotReceiver.h"
 
 namespace parsleycove {
--- a/Source/Consensus/SnapshotReceiver.h
+++ b/Source/Consensus/SnapshotReceiver.h
@@ -1,4 +1,4 @@
-// Order of the chunks of a snapshot that a follower receives.
+// Checks the order of the snapshot chunks that a follower receives.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,16 @@
 
 enum class ChunkResult
 {
-  Next,       // the awaited chunk
-  Last,       // the awaited chunk, and the whole is complete
-  OutOfOrder, // another chunk is awaited
-  Busy,       // the whole is being installed
+  Next,       // the expected chunk
+  Last,       // the expected chunk, which completes the snapshot
+  OutOfOrder, // not the expected chunk
+  Busy,       // the complete snapshot is being installed
 };
 
 class SnapshotReceiver
 {
 public:
+  // A chunk of a different snapshot than the current one starts a new snapshot.
   ChunkResult Receive(const consensus::InstallSnapshotT& aChunk);
   std::uint64_t NextOffset() const { return m_offset; }
   bool IsInstalling() const { return m_installing; }
@@ -26,9 +27,9 @@
 private:
   bool IsSame(const consensus::SnapshotMetaT& aMeta) const;
 
-  consensus::SnapshotMetaT m_meta; // of the snapshot under way
-  std::uint64_t m_offset = 0;      // every byte before it was received
-  bool m_installing = false;       // the last chunk was handed to the shell
+  consensus::SnapshotMetaT m_meta; // of the snapshot being received
+  std::uint64_t m_offset = 0;      // all bytes before it were received
+  bool m_installing = false;       // the last chunk was passed to the caller
 };
 
 } // namespace parsleycove
--- a/Source/Consensus/SnapshotSender.cxx
+++ b/Source/Consensus/SnapshotSender.cxx
@@ -1,4 +1,5 @@
-// Pieces of a snapshot for members that need entries dropped here.
+// Sends a snapshot in chunks to a member that needs entries which the leader
+// has compacted.
 #include "Consensus/SnapshotSender.h"
 
 #include "Consensus/Progress.h"
--- a/Source/Consensus/SnapshotSender.h
+++ b/Source/Consensus/SnapshotSender.h
@@ -1,4 +1,5 @@
-// Pieces of a snapshot for members that need entries dropped here.
+// Sends a snapshot in chunks to a member that needs entries which the leader
+// has compacted.
 #pragma once
 
 #include <cstdint>
@@ -18,14 +19,16 @@
   {
   }
 
+  // Starts to send the newest snapshot to the member.
   void Start(TimePoint aNow, Progress& aProgress);
-  // Goes on with the chunk that the member awaits; starts over if a newer
-  // snapshot has replaced the one under way.
+  // Requests the chunk at aOffset of the snapshot at aIndex. Starts over with
+  // the newest snapshot if that one has replaced the snapshot at aIndex.
   void Continue(TimePoint aNow,
                 Progress& aProgress,
                 std::uint64_t aIndex,
                 std::uint64_t aOffset);
-  // Asks for the chunk again if the member has not answered for long.
+  // Requests the chunk again if the member has not answered within an election
+  // timeout.
   void RetryIfLate(TimePoint aNow, Progress& aProgress);
 
 private:
