--- a/Tests/Consensus/MemoryDisk.h
+++ b/Tests/Consensus/MemoryDisk.h
@@ -1,4 +1,4 @@
-// What a replica of the tests has stored, with and without a sync.
+// The stored data of a test replica. Everything written here counts as synced.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 {
   consensus::HardStateT m_hardState;
   std::optional<consensus::SnapshotMetaT> m_snapshot;
-  std::vector<std::uint8_t> m_state; // of the snapshot
+  std::vector<std::uint8_t> m_state; // state machine state in the snapshot
   std::vector<consensus::EntryT> m_entries;
 
   std::uint64_t BaseIndex() const { return m_snapshot ? m_snapshot->index : 0; }
--- a/Tests/Consensus/ReplicaFaultTest.cxx
+++ b/Tests/Consensus/ReplicaFaultTest.cxx
@@ -1,4 +1,7 @@
-// Every fault at every step of what a group of replicas does.
+// Guards against lost entries, diverging logs, stale reads and groups that do
+// not recover: injects every kind of fault, alone and in pairs, at the message
+// deliveries of each scenario (election, replication, reads, snapshots,
+// membership changes).
 #include "TestCluster.h"
 
 #include <functional>
@@ -35,7 +38,7 @@
   return text;
 }
 
-// Returns the number of deliveries up to the scenario's end.
+// Returns the number of message deliveries until the end of the scenario.
 std::uint64_t
 RunOnce(const Scenario& aScenario,
         std::size_t aCount,
@@ -68,8 +71,8 @@
   }
 }
 
-// Pairs one disk's loss at most with any other fault: two lost disks at once
-// are more than three replicas survive.
+// Combines every two faults except two wiped disks, since three replicas do not
+// survive the loss of two disks at once.
 void
 RunPairs(const Scenario& aScenario, std::size_t aCount, std::uint64_t aSeed)
 {
@@ -137,7 +140,8 @@
         aCluster.At(leader).m_replica->Propose(aCluster.Now(), { value });
       }
     }
-    // The snapshot is replaced while its chunks may be on their way.
+    // A newer snapshot replaces the current one while chunks of the current one
+    // may be in flight.
     for (std::uint8_t value = 24; value < 28; ++value) {
       done = done && aCluster.Commit(value);
       for (auto& [id, node] : aCluster.Nodes()) {
--- a/Tests/Consensus/ReplicaSafetyTest.cxx
+++ b/Tests/Consensus/ReplicaSafetyTest.cxx
@@ -1,4 +1,7 @@
-// Named cases in which a group of replicas could go wrong.
+// Guards against single violations of Raft's safety rules: commits of entries
+// of older terms, reads without confirmation, votes that must be denied,
+// membership changes at the wrong time, data that counts before its sync. Each
+// test brings about one such case.
 #include "TestCluster.h"
 
 #include "Consensus/MembershipRules.h"
@@ -35,7 +38,7 @@
   return vote;
 }
 
-// Whether the replica grants a vote to the sender.
+// Returns whether the replica grants its vote to the sender of aMessage.
 bool
 Grants(Replica& aReplica,
        TimePoint aNow,
@@ -70,7 +73,7 @@
   return 0;
 }
 
-// Takes what the replica wants stored or sent, and tells it that it is.
+// Takes all work from the replica and tells the replica that it is synced.
 void
 Flush(Replica& aReplica, TimePoint aNow)
 {
@@ -80,7 +83,8 @@
   }
 }
 
-// Makes a replica leader with the vote of replica 2; returns the time.
+// Makes the replica leader with the vote of replica 2. Returns the time of the
+// election.
 TimePoint
 Elect(Replica& aReplica, TimePoint aStart)
 {
@@ -100,7 +104,7 @@
   return now;
 }
 
-// The answer of replica 2 to an append or a heartbeat.
+// Returns the answer of replica 2 to an append or a heartbeat.
 consensus::PeerMessageT
 MakeAppendReply(const Replica& aLeader,
                 std::uint64_t aMatch,
@@ -114,7 +118,7 @@
   return MakeMessage(2, 1, reply);
 }
 
-// A log with a committed membership and an entry of term 2 that is not.
+// Returns a log with a committed membership and an uncommitted entry of term 2.
 RestoredLog
 MakeLog(TestCluster& aCluster)
 {
@@ -133,7 +137,8 @@
   return log;
 }
 
-// The number of the last message to replica 2 among the early ones.
+// Returns the probe number of the last append to replica 2 in m_earlyMessages,
+// or 0 if there is none.
 std::uint64_t
 FindProbe(const Ready& aReady)
 {
@@ -165,7 +170,8 @@
   CHECK_EQUAL(3, leader.LastIndex());
   leader.Step(now, MakeAppendReply(leader, 2, 1));
   CHECK_EQUAL(1, leader.CommitIndex());
-  // A quorum answers, but until then neither reads nor members may change.
+  // A quorum answers, but until an entry of the leader's term is committed, the
+  // leader must neither answer reads nor change the membership.
   CHECK(leader.HasLeaderLease(now));
   leader.ReadIndex(now, MakeRead(1));
   CHECK_EQUAL(0, leader.TakeReady().m_reads.size());
@@ -193,7 +199,7 @@
   CHECK_EQUAL(0, ready.m_reads.size());
   const std::uint64_t after = FindProbe(ready);
   CHECK(before != 0 && after > before);
-  // It went out before the read came, and gives no lease at this time.
+  // This probe was sent before the read arrived, and too early for a lease now.
   leader.Step(late, MakeAppendReply(leader, 3, before));
   CHECK_EQUAL(0, leader.TakeReady().m_reads.size());
   leader.Step(late, MakeAppendReply(leader, 3, after));
@@ -333,7 +339,7 @@
   cluster.Run(seconds(20));
   CHECK_EQUAL(leader, cluster.Leader());
   CHECK_EQUAL(term, cluster.At(leader).m_replica->Term());
-  // One of an older version that asks without a pre-vote.
+  // A replica of an older version requests a vote without a pre-vote.
   const auto vote = MakeMessage(removed, leader, MakeVote(term + 5));
   cluster.At(leader).m_replica->Step(cluster.Now(), vote);
   cluster.Run(seconds(2));
@@ -367,7 +373,7 @@
   foreign.cluster = 78;
   CHECK_FALSE(Grants(fresh, later, foreign));
   CHECK_EQUAL(0, fresh.Term());
-  // Settings that name the old identity again, over an empty folder.
+  // The settings name the old identity again, but the data folder is empty.
   Replica again(cluster.Options(2), {}, start);
   CHECK_FALSE(Grants(again, later, MakeMessage(1, 2, MakeVote(9))));
 }
@@ -462,7 +468,8 @@
   const Ready ready = leader.TakeReady();
   CHECK(ready.NeedsSync());
   const std::uint64_t last = leader.LastIndex();
-  // One follower has it; with the leader's own copy unsynced that is no quorum.
+  // One follower has stored the entry. The leader's copy is not synced yet, so
+  // that there is no quorum.
   auto reply = MakeAppendReply(leader, last, 0);
   reply.from = OtherThan(cluster, cluster.Leader());
   reply.to = cluster.Leader();
--- a/Tests/Consensus/TestCluster.cxx
+++ b/Tests/Consensus/TestCluster.cxx
@@ -1,4 +1,5 @@
-// Replicas in one thread, with messages, disks and faults in the test's hand.
+// Runs a group of replicas in one thread with simulated time, messages, disks
+// and injected faults.
 #include "TestCluster.h"
 
 #include <algorithm>
@@ -294,7 +295,7 @@
   if (!chunk.last) {
     return;
   }
-  // The state is one byte for each entry of the log.
+  // The simulated state has one byte for each entry of the log.
   Expect(node.m_received.size() == chunk.meta->index, "broken snapshot");
   node.m_disk.Install(*chunk.meta, node.m_received, false);
   node.m_applied = chunk.meta->index;
--- a/Tests/Consensus/TestCluster.h
+++ b/Tests/Consensus/TestCluster.h
@@ -1,4 +1,5 @@
-// Replicas in one thread, with messages, disks and faults in the test's hand.
+// Runs a group of replicas in one thread with simulated time, messages, disks
+// and injected faults, and checks Raft's invariants after each step.
 #pragma once
 
 #include <cstdint>
@@ -19,17 +20,17 @@
   None,
   Drop,
   Duplicate,
-  Delay,           // past messages that were sent later
-  CrashBeforeSync, // the receiver, with what it did not sync lost
-  CrashAfterSync,  // the receiver, before it sent anything
-  Freeze,          // the receiver, past its lease
-  CutIn,           // the receiver hears nothing for a while
-  CutOut,          // the receiver is not heard for a while
+  Delay,           // the message, so that later ones overtake it
+  CrashBeforeSync, // of the receiver, which loses its unsynced data
+  CrashAfterSync,  // of the receiver, before it sends its messages
+  Freeze,          // the receiver, for longer than a leader lease
+  CutIn,           // drops messages to the receiver for a while
+  CutOut,          // drops messages from the receiver for a while
   CutBoth,
-  Wipe, // the receiver's disk; it comes back under a new identity
+  Wipe, // the receiver's disk; a replica with a new identity replaces it
 };
 
-// A fault at the delivery with this number.
+// A fault that is injected at the delivery with the number m_delivery.
 struct PlannedFault
 {
   std::uint64_t m_delivery = 0;
@@ -38,16 +39,16 @@
 
 struct Node
 {
-  std::unique_ptr<Replica> m_replica; // null: crashed
+  std::unique_ptr<Replica> m_replica; // nullptr if crashed
   MemoryDisk m_disk;
   std::string m_zone;
   std::uint64_t m_applied = 0;
-  std::vector<std::uint8_t> m_received; // of a snapshot under way
+  std::vector<std::uint8_t> m_received; // of a snapshot being received
   TimePoint m_frozenUntil{};
   TimePoint m_downUntil{};
   TimePoint m_inboundCutUntil{};
   TimePoint m_outboundCutUntil{};
-  bool m_wiped = false; // gone for good
+  bool m_wiped = false; // never restarts
 };
 
 class TestCluster
@@ -58,24 +59,25 @@
   void Plan(std::vector<PlannedFault> aFaults) { m_plan = std::move(aFaults); }
   std::uint64_t Deliveries() const { return m_deliveries; }
 
-  // Lets time pass; messages take a millisecond.
+  // Advances the time; a message takes a millisecond.
   void Run(Duration aFor);
-  // Proposes until committed, through whichever leader there is.
+  // Proposes the value to the current leader, repeatedly until it is committed.
+  // Returns false if it is not committed in time.
   bool Commit(std::uint8_t aValue);
   bool Read();
   bool ChangeMembership(consensus::MembershipT aNext);
   bool Replace(std::uint64_t aOld);
   std::uint64_t Join(const std::string& aZone);
-  // Snapshots the applied state of a node and drops its log before it.
+  // Stores a snapshot of a node's applied state and compacts the node's log.
   void Compact(std::uint64_t aId);
   void Crash(std::uint64_t aId);
   void Restart(std::uint64_t aId);
   void Wipe(std::uint64_t aId);
-  // Ends all faults, replaces wiped replicas and expects every node to catch
-  // up.
+  // Ends all faults and replaces wiped replicas. Returns whether all members
+  // then catch up with the leader.
   bool Heal();
 
-  std::uint64_t Leader() const; // the one with a lease, or 0
+  std::uint64_t Leader() const; // the leader with a lease, or 0
   consensus::MembershipT Members() const;
   consensus::MembershipT With(std::uint64_t aId,
                               const std::string& aZone,
@@ -85,7 +87,7 @@
   std::map<std::uint64_t, Node>& Nodes() { return m_nodes; }
   TimePoint Now() const { return m_now; }
   ReplicaOptions Options(std::uint64_t aId) const;
-  // What was broken first, or empty.
+  // Returns the first invariant that was violated, or an empty text.
   const std::string& FirstViolation() const { return m_firstViolation; }
 
 private:
@@ -96,7 +98,7 @@
   };
   struct PendingRead
   {
-    std::uint64_t m_floor = 0; // committed when the read began
+    std::uint64_t m_floor = 0; // highest commit index when the read began
     std::optional<ReadState> m_answer;
   };
 
@@ -124,13 +126,14 @@
   std::vector<PlannedFault> m_plan;
   std::uint64_t m_deliveries = 0;
   std::uint64_t m_nextId = 1;
-  Fault m_syncFault = Fault::None; // strikes at the next Ready with a sync
+  // Injected at the next Ready that needs a sync.
+  Fault m_syncFault = Fault::None;
   std::map<std::uint64_t, std::uint64_t> m_leaderOfTerm;
   std::map<std::uint64_t, consensus::EntryT> m_committed; // by index
-  std::uint64_t m_acknowledged = 0; // highest index a leader held committed
+  std::uint64_t m_acknowledged = 0; // highest commit index of any leader
   std::map<std::uint64_t, PendingRead> m_reads;
   std::uint64_t m_nextRead = 1;
-  bool m_disksChanged = false; // since the logs were last compared
+  bool m_disksChanged = false; // since the last comparison of the logs
   std::string m_firstViolation;
 };
 
--- a/Tests/Consensus/TestClusterActions.cxx
+++ b/Tests/Consensus/TestClusterActions.cxx
@@ -1,4 +1,4 @@
-// What the tests do with a cluster, in spite of the faults under way.
+// Actions of the tests on a cluster. They retry, since faults may be active.
 #include "TestCluster.h"
 
 #include <algorithm>
@@ -161,7 +161,7 @@
     if (ChangeMembership(With(id, zone, true))) {
       return ChangeMembership(Without(aOld));
     }
-    // The new one's disk was lost before it could be promoted.
+    // The disk of the new replica was lost before its promotion.
     if (!m_nodes.at(id).m_wiped || !ChangeMembership(Without(id))) {
       return false;
     }
