--- a/Source/Consensus/ReplicaState.cxx
+++ b/Source/Consensus/ReplicaState.cxx
@@ -1,4 +1,4 @@
-// What the parts of a replica share: log, term, role and outgoing work.
+// State that the roles of a replica share: log, term, role and outgoing work.
 #include "Consensus/ReplicaState.h"
 
 #include <algorithm>
@@ -16,7 +16,8 @@
   return (aOptions.m_seed + aOptions.m_replica) * kMultiplier;
 }
 
-// Differs between two runs of one replica, as they start at different times.
+// Returns a value that differs between two runs of a replica, since the runs
+// start at different times.
 std::uint64_t
 MakeNonce(const ReplicaOptions& aOptions, TimePoint aNow)
 {
@@ -50,7 +51,7 @@
 }
 
 bool
-ReplicaState::IsOwnVoter() const
+ReplicaState::IsSelfVoter() const
 {
   return IsVoter(m_members.Latest(), Self());
 }
@@ -90,7 +91,7 @@
 }
 
 void
-ReplicaState::NoteLeaderContact(TimePoint aNow)
+ReplicaState::RecordLeaderContact(TimePoint aNow)
 {
   m_denyVotesUntil =
     std::max(m_denyVotesUntil, aNow + m_options.m_electionTimeout);
@@ -132,7 +133,7 @@
   reply.id = aRead.m_id;
   reply.index = m_log.CommitIndex();
   reply.ok = aOk;
-  SendEarly(aRead.m_from, reply);
+  SendImmediately(aRead.m_from, reply);
 }
 
 void
--- a/Source/Consensus/ReplicationTracker.cxx
+++ b/Source/Consensus/ReplicationTracker.cxx
@@ -1,4 +1,4 @@
-// A leader's knowledge of all members, and what a quorum of them says.
+// Tracks the leader's replication progress of all members.
 #include "Consensus/ReplicationTracker.h"
 
 #include <algorithm>
@@ -11,7 +11,8 @@
 
 namespace {
 
-// Returns the highest value that a quorum of voters has reached.
+// Returns the highest value that a quorum of voters has reached, or aLowest if
+// there are no voters.
 template<typename Value, typename ValueOf>
 Value
 QuorumValue(const consensus::MembershipT& aMembership,
@@ -28,14 +29,14 @@
     return aLowest;
   }
   std::sort(values.begin(), values.end(), std::greater<>());
-  return values[QuorumOf(aMembership) - 1];
+  return values[QuorumSize(aMembership) - 1];
 }
 
 } // namespace
 
 void
-ReplicationTracker::Follow(const consensus::MembershipT& aMembership,
-                           std::uint64_t aNext)
+ReplicationTracker::UpdateMembers(const consensus::MembershipT& aMembership,
+                                  std::uint64_t aNext)
 {
   std::erase_if(m_members, [&](const Progress& aProgress) {
     return !FindMember(aMembership, aProgress.m_replica);
--- a/Source/Consensus/SnapshotReceiver.h
+++ b/Source/Consensus/SnapshotReceiver.h
@@ -1,4 +1,4 @@
-// Order of the pieces of a snapshot that a follower receives.
+// Checks the order of the snapshot chunks that a follower receives.
 #pragma once
 
 #include <cstdint>
@@ -7,28 +7,29 @@
 
 namespace parsleycove {
 
-enum class PieceVerdict
+enum class ChunkResult
 {
-  Next,      // the awaited piece
-  Last,      // the awaited piece, and the whole is complete
-  OutOfTurn, // another piece is awaited
-  Busy,      // the whole is being installed
+  Next,       // the expected chunk
+  Last,       // the expected chunk, which completes the snapshot
+  OutOfOrder, // not the expected chunk
+  Busy,       // the complete snapshot is being installed
 };
 
 class SnapshotReceiver
 {
 public:
-  PieceVerdict Take(const consensus::InstallSnapshotT& aPiece);
-  std::uint64_t AwaitedOffset() const { return m_offset; }
+  // A chunk of a different snapshot than the current one starts a new snapshot.
+  ChunkResult Receive(const consensus::InstallSnapshotT& aChunk);
+  std::uint64_t NextOffset() const { return m_offset; }
   bool IsInstalling() const { return m_installing; }
-  void Forget();
+  void Reset();
 
 private:
   bool IsSame(const consensus::SnapshotMetaT& aMeta) const;
 
-  consensus::SnapshotMetaT m_meta; // of the snapshot under way
-  std::uint64_t m_offset = 0;      // every byte before it was received
-  bool m_installing = false;       // the last piece was handed to the shell
+  consensus::SnapshotMetaT m_meta; // of the snapshot being received
+  std::uint64_t m_offset = 0;      // all bytes before it were received
+  bool m_installing = false;       // the last chunk was passed to the caller
 };
 
 } // namespace parsleycove
--- a/Tests/Consensus/ReplicaTrapTest.cxx
+++ b/Tests/Consensus/ReplicaSafetyTest.cxx
@@ -1,4 +1,7 @@
-// Named cases in which a group of replicas could go wrong.
+// Guards against single violations of Raft's safety rules: commits of entries
+// of older terms, reads without confirmation, votes that must be denied,
+// membership changes at the wrong time, data that counts before its sync. Each
+// test brings about one such case.
 #include "TestCluster.h"
 
 #include "Consensus/MembershipRules.h"
@@ -35,7 +38,7 @@
   return vote;
 }
 
-// Whether the replica grants a vote to the sender.
+// Returns whether the replica grants its vote to the sender of aMessage.
 bool
 Grants(Replica& aReplica,
        TimePoint aNow,
@@ -53,10 +56,10 @@
 }
 
 void
-CheckWhole(TestCluster& aCluster)
+CheckRecovers(TestCluster& aCluster)
 {
   CHECK(aCluster.Heal());
-  STRCMP_EQUAL("", aCluster.Broken().c_str());
+  STRCMP_EQUAL("", aCluster.FirstViolation().c_str());
 }
 
 std::uint64_t
@@ -70,7 +73,7 @@
   return 0;
 }
 
-// Takes what the replica wants stored or sent, and tells it that it is.
+// Takes all work from the replica and tells the replica that it is synced.
 void
 Flush(Replica& aReplica, TimePoint aNow)
 {
@@ -80,7 +83,8 @@
   }
 }
 
-// Makes a replica leader with the vote of replica 2; returns the time.
+// Makes the replica leader with the vote of replica 2. Returns the time of the
+// election.
 TimePoint
 Elect(Replica& aReplica, TimePoint aStart)
 {
@@ -100,7 +104,7 @@
   return now;
 }
 
-// The answer of replica 2 to an append or a heartbeat.
+// Returns the answer of replica 2 to an append or a heartbeat.
 consensus::PeerMessageT
 MakeAppendReply(const Replica& aLeader,
                 std::uint64_t aMatch,
@@ -114,7 +118,7 @@
   return MakeMessage(2, 1, reply);
 }
 
-// A log with a committed membership and an entry of term 2 that is not.
+// Returns a log with a committed membership and an uncommitted entry of term 2.
 RestoredLog
 MakeLog(TestCluster& aCluster)
 {
@@ -133,7 +137,8 @@
   return log;
 }
 
-// The number of the last message to replica 2 among the early ones.
+// Returns the probe number of the last append to replica 2 in m_earlyMessages,
+// or 0 if there is none.
 std::uint64_t
 FindProbe(const Ready& aReady)
 {
@@ -155,9 +160,9 @@
 
 } // namespace
 
-TEST_GROUP(ReplicaTrap){};
+TEST_GROUP(ReplicaSafety){};
 
-TEST(ReplicaTrap, EntryOfAnOlderTermCommitsOnlyWithOneOfTheOwn)
+TEST(ReplicaSafety, EntryOfAnOlderTermCommitsOnlyWithOneOfTheOwn)
 {
   TestCluster cluster(3, 1);
   Replica leader(cluster.Options(1), MakeLog(cluster), cluster.Now());
@@ -165,7 +170,8 @@
   CHECK_EQUAL(3, leader.LastIndex());
   leader.Step(now, MakeAppendReply(leader, 2, 1));
   CHECK_EQUAL(1, leader.CommitIndex());
-  // A quorum answers, but until then neither reads nor members may change.
+  // A quorum answers, but until an entry of the leader's term is committed, the
+  // leader must neither answer reads nor change the membership.
   CHECK(leader.HasLeaderLease(now));
   leader.ReadIndex(now, MakeRead(1));
   CHECK_EQUAL(0, leader.TakeReady().m_reads.size());
@@ -178,7 +184,7 @@
   CHECK_EQUAL(1, leader.TakeReady().m_reads.size());
 }
 
-TEST(ReplicaTrap, ReadWithoutALeaseWaitsForAQuorumAskedAfterIt)
+TEST(ReplicaSafety, ReadWithoutALeaseWaitsForAQuorumAskedAfterIt)
 {
   TestCluster cluster(3, 1);
   Replica leader(cluster.Options(1), MakeLog(cluster), cluster.Now());
@@ -193,7 +199,7 @@
   CHECK_EQUAL(0, ready.m_reads.size());
   const std::uint64_t after = FindProbe(ready);
   CHECK(before != 0 && after > before);
-  // It went out before the read came, and gives no lease at this time.
+  // This probe was sent before the read arrived, and too early for a lease now.
   leader.Step(late, MakeAppendReply(leader, 3, before));
   CHECK_EQUAL(0, leader.TakeReady().m_reads.size());
   leader.Step(late, MakeAppendReply(leader, 3, after));
@@ -202,7 +208,7 @@
   CHECK(answered.m_reads.front().m_ok);
 }
 
-TEST(ReplicaTrap, ReadsFailAtOnceWhenTheLeaderStepsDown)
+TEST(ReplicaSafety, ReadsFailAtOnceWhenTheLeaderStepsDown)
 {
   TestCluster cluster(3, 1);
   Replica leader(cluster.Options(1), MakeLog(cluster), cluster.Now());
@@ -217,7 +223,7 @@
   CHECK_FALSE(ready.m_reads.front().m_ok);
 }
 
-TEST(ReplicaTrap, VoteGoesOnlyToALogThatIsUpToDate)
+TEST(ReplicaSafety, VoteGoesOnlyToALogThatIsUpToDate)
 {
   TestCluster cluster(3, 1);
   Replica voter(cluster.Options(1), MakeLog(cluster), cluster.Now());
@@ -235,7 +241,7 @@
   CHECK(Grants(voter, now, MakeMessage(2, 1, vote)));
 }
 
-TEST(ReplicaTrap, OwnVoteCountsOnceItIsStored)
+TEST(ReplicaSafety, OwnVoteCountsOnceItIsStored)
 {
   TestCluster cluster(1, 1);
   const TimePoint start = cluster.Now();
@@ -249,18 +255,18 @@
   CHECK(alone.Role() == ReplicaRole::Leader);
 }
 
-TEST(ReplicaTrap, PromisesNothingWhileASnapshotIsInstalled)
+TEST(ReplicaSafety, PromisesNothingWhileASnapshotIsInstalled)
 {
   TestCluster cluster(3, 1);
   const TimePoint now = cluster.Now();
   Replica follower(cluster.Options(1), MakeLog(cluster), now);
-  consensus::InstallSnapshotT piece;
-  piece.term = 3;
-  piece.meta = std::make_unique<consensus::SnapshotMetaT>();
-  piece.meta->index = 50;
-  piece.meta->term = 3;
-  piece.last = true;
-  follower.Step(now, MakeMessage(2, 1, piece));
+  consensus::InstallSnapshotT chunk;
+  chunk.term = 3;
+  chunk.meta = std::make_unique<consensus::SnapshotMetaT>();
+  chunk.meta->index = 50;
+  chunk.meta->term = 3;
+  chunk.last = true;
+  follower.Step(now, MakeMessage(2, 1, chunk));
   CHECK_EQUAL(1, follower.TakeReady().m_chunks.size());
   follower.Persisted(now);
   consensus::AppendT append;
@@ -274,11 +280,11 @@
   const Ready ready = follower.TakeReady();
   CHECK_EQUAL(0, ready.m_entries.size());
   CHECK_EQUAL(0, ready.m_messages.back().body.AsAppendReply()->match_index);
-  follower.SnapshotInstalled(now, *piece.meta);
+  follower.SnapshotInstalled(now, *chunk.meta);
   CHECK_EQUAL(50, follower.LastIndex());
 }
 
-TEST(ReplicaTrap, SecondLossRightAfterARepairLosesNothing)
+TEST(ReplicaSafety, SecondLossRightAfterARepairLosesNothing)
 {
   for (std::uint64_t first = 1; first <= 3; ++first) {
     for (std::uint64_t second = 1; second <= 3; ++second) {
@@ -290,12 +296,12 @@
         cluster.Wipe(second);
       }
       CHECK(cluster.Commit(3));
-      CheckWhole(cluster);
+      CheckRecovers(cluster);
     }
   }
 }
 
-TEST(ReplicaTrap, NoMembershipChangeBeforeACommitOfTheOwnTerm)
+TEST(ReplicaSafety, NoMembershipChangeBeforeACommitOfTheOwnTerm)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
@@ -322,7 +328,7 @@
   CHECK(leader.LastReason().m_code == ReplicaError::NotNow);
 }
 
-TEST(ReplicaTrap, RemovedReplicaDoesNotDisturb)
+TEST(ReplicaSafety, RemovedReplicaDoesNotDisturb)
 {
   TestCluster cluster(5, 1);
   CHECK(cluster.Commit(1));
@@ -333,29 +339,29 @@
   cluster.Run(seconds(20));
   CHECK_EQUAL(leader, cluster.Leader());
   CHECK_EQUAL(term, cluster.At(leader).m_replica->Term());
-  // One of an older version that asks without a pre-vote.
+  // A replica of an older version requests a vote without a pre-vote.
   const auto vote = MakeMessage(removed, leader, MakeVote(term + 5));
   cluster.At(leader).m_replica->Step(cluster.Now(), vote);
   cluster.Run(seconds(2));
   CHECK_EQUAL(term, cluster.At(leader).m_replica->Term());
 }
 
-TEST(ReplicaTrap, ReplicaIsolatedForAnHourDoesNotDisturb)
+TEST(ReplicaSafety, ReplicaIsolatedForAnHourDoesNotDisturb)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
   const std::uint64_t leader = cluster.Leader();
   const std::uint64_t term = cluster.At(leader).m_replica->Term();
   Node& other = cluster.At(OtherThan(cluster, leader));
-  other.m_deafUntil = cluster.Now() + hours(1);
-  other.m_muteUntil = other.m_deafUntil;
+  other.m_inboundCutUntil = cluster.Now() + hours(1);
+  other.m_outboundCutUntil = other.m_inboundCutUntil;
   cluster.Run(hours(1) + seconds(5));
   CHECK_EQUAL(leader, cluster.Leader());
   CHECK_EQUAL(term, cluster.At(leader).m_replica->Term());
-  CheckWhole(cluster);
+  CheckRecovers(cluster);
 }
 
-TEST(ReplicaTrap, WipedDiskNeverVotesUnderItsOldIdentity)
+TEST(ReplicaSafety, WipedDiskNeverVotesUnderItsOldIdentity)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
@@ -367,12 +373,12 @@
   foreign.cluster = 78;
   CHECK_FALSE(Grants(fresh, later, foreign));
   CHECK_EQUAL(0, fresh.Term());
-  // Settings that name the old identity again, over an empty folder.
+  // The settings name the old identity again, but the data folder is empty.
   Replica again(cluster.Options(2), {}, start);
   CHECK_FALSE(Grants(again, later, MakeMessage(1, 2, MakeVote(9))));
 }
 
-TEST(ReplicaTrap, NoVoteWithinAnElectionTimeoutOfTheStart)
+TEST(ReplicaSafety, NoVoteWithinAnElectionTimeoutOfTheStart)
 {
   TestCluster cluster(3, 1);
   const ReplicaOptions options = cluster.Options(2);
@@ -386,7 +392,7 @@
     Grants(restarted, soon + seconds(1), MakeMessage(3, 2, MakeVote(9))));
 }
 
-TEST(ReplicaTrap, OneZoneNeverHoldsAMajority)
+TEST(ReplicaSafety, OneZoneNeverHoldsAMajority)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
@@ -402,7 +408,7 @@
   CHECK_FALSE(fresh.Bootstrap(members));
 }
 
-TEST(ReplicaTrap, LearnerIsPromotedOnlyOnceItHasStoredAll)
+TEST(ReplicaSafety, LearnerIsPromotedOnlyOnceItHasStoredAll)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
@@ -420,7 +426,7 @@
   CHECK(leader.ProposeMembership(cluster.Now(), promoted).has_value());
 }
 
-TEST(ReplicaTrap, LeaderThatWakesFromAFreezeServesNothing)
+TEST(ReplicaSafety, LeaderThatWakesFromAFreezeServesNothing)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
@@ -435,7 +441,7 @@
   CHECK(leader.Role() == ReplicaRole::Follower);
 }
 
-TEST(ReplicaTrap, EveryReadIsAnsweredWhenTheLeaderIsLost)
+TEST(ReplicaSafety, EveryReadIsAnsweredWhenTheLeaderIsLost)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
@@ -452,7 +458,7 @@
   CHECK(ready.m_reads.front().m_requestedAt == asked);
 }
 
-TEST(ReplicaTrap, NothingIsCountedBeforeItsSync)
+TEST(ReplicaSafety, NothingIsCountedBeforeItsSync)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
@@ -462,7 +468,8 @@
   const Ready ready = leader.TakeReady();
   CHECK(ready.NeedsSync());
   const std::uint64_t last = leader.LastIndex();
-  // One follower has it; with the leader's own copy unsynced that is no quorum.
+  // One follower has stored the entry. The leader's copy is not synced yet, so
+  // that there is no quorum.
   auto reply = MakeAppendReply(leader, last, 0);
   reply.from = OtherThan(cluster, cluster.Leader());
   reply.to = cluster.Leader();
