--- a/Source/Control/SuspicionFilter.cxx
+++ b/Source/Control/FailureReportFilter.cxx
@@ -1,5 +1,5 @@
 // Which reports of dead endpoints are worth an entry of the log.
-#include "Control/SuspicionFilter.h"
+#include "Control/FailureReportFilter.h"
 
 #include <algorithm>
 
--- a/Source/Control/FeedBackend.h
+++ b/Source/Control/FeedBackend.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "Base/SocketAddress.h"
-#include "Control/ProposalTable.h"
+#include "Control/PendingProposals.h"
 #include "FeedGenerated.h"
 #include "State/ReplicatedState.h"
 
--- a/Source/Control/GroupMember.cxx
+++ b/Source/Control/GroupMembershipClient.cxx
@@ -1,5 +1,5 @@
 // Keeps this VM's replica a member of the group.
-#include "Control/GroupMember.h"
+#include "Control/GroupMembershipClient.h"
 
 #include <algorithm>
 #include <utility>
--- a/Source/Control/LeaderDuties.cxx
+++ b/Source/Control/LeaderMaintenance.cxx
@@ -1,5 +1,5 @@
 // What a leader does besides replicating: leases, in-force index, promotion.
-#include "Control/LeaderDuties.h"
+#include "Control/LeaderMaintenance.h"
 
 #include <algorithm>
 #include <limits>
--- a/Source/Control/ProposalTable.cxx
+++ b/Source/Control/PendingProposals.cxx
@@ -1,5 +1,5 @@
 // Proposals of this leader that wait for their entry to be applied.
-#include "Control/ProposalTable.h"
+#include "Control/PendingProposals.h"
 
 #include <utility>
 
--- a/Source/Control/ReadTable.cxx
+++ b/Source/Control/PendingReads.cxx
@@ -1,5 +1,5 @@
 // Quorum-confirmed reads that wait for their answer or for the state.
-#include "Control/ReadTable.h"
+#include "Control/PendingReads.h"
 
 #include <utility>
 
--- a/Source/Control/ReplicaCore.h
+++ b/Source/Control/ReplicaCore.h
@@ -9,8 +9,8 @@
 
 #include "Base/Clock.h"
 #include "Consensus/Replica.h"
-#include "Control/ProposalTable.h"
-#include "Control/ReadTable.h"
+#include "Control/PendingProposals.h"
+#include "Control/PendingReads.h"
 #include "Control/ReplicaServiceOptions.h"
 #include "Control/SnapshotAssembler.h"
 #include "State/ReplicatedState.h"
--- a/Source/Control/ReplicaNode.h
+++ b/Source/Control/ReplicaNode.h
@@ -13,13 +13,13 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 
+#include "Control/FailureReportFilter.h"
 #include "Control/FeedServer.h"
 #include "Control/InboundLinks.h"
-#include "Control/LeaderDuties.h"
+#include "Control/LeaderMaintenance.h"
 #include "Control/MembershipRepair.h"
 #include "Control/ReplicaCore.h"
 #include "Control/ReplicaServiceOptions.h"
-#include "Control/SuspicionFilter.h"
 #include "Store/DiskFiles.h"
 #include "Wire/FrameAcceptor.h"
 #include "Wire/PeerLinks.h"
--- a/Source/Control/ReplicaNodeOptions.h
+++ b/Source/Control/ReplicaNodeOptions.h
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "Control/FeedServer.h"
-#include "Control/LeaderDuties.h"
+#include "Control/LeaderMaintenance.h"
 #include "Control/ReplicaCore.h"
 #include "Control/ReplicaServiceOptions.h"
 #include "Wire/PeerLinks.h"
--- a/Source/Daemon/ControlProcess.cxx
+++ b/Source/Daemon/ControlProcess.cxx
@@ -6,7 +6,7 @@
 #include <boost/asio/post.hpp>
 #include <boost/asio/steady_timer.hpp>
 
-#include "Control/GroupMember.h"
+#include "Control/GroupMembershipClient.h"
 #include "Control/ReplicaService.h"
 #include "Daemon/ProcessFrame.h"
 #include "Daemon/ReplicaLog.h"
--- a/Tests/Control/RepairEndToEndTest.cxx
+++ b/Tests/Control/RepairEndToEndTest.cxx
@@ -6,7 +6,7 @@
 #include <boost/asio/io_context.hpp>
 
 #include "Control/Cluster.h"
-#include "Control/GroupMember.h"
+#include "Control/GroupMembershipClient.h"
 
 // Last, since its leak macros redefine new.
 #include <CppUTest/TestHarness.h>
--- a/Tests/Control/ReplicaPartsTest.cxx
+++ b/Tests/Control/ReplicaPartsTest.cxx
@@ -4,12 +4,12 @@
 #include <vector>
 
 #include "Control/DeltaRing.h"
-#include "Control/LeaderDuties.h"
+#include "Control/FailureReportFilter.h"
+#include "Control/LeaderMaintenance.h"
 #include "Control/LeaseKey.h"
-#include "Control/ProposalTable.h"
-#include "Control/ReadTable.h"
+#include "Control/PendingProposals.h"
+#include "Control/PendingReads.h"
 #include "Control/SnapshotAssembler.h"
-#include "Control/SuspicionFilter.h"
 
 // Last, since its leak macros redefine new.
 #include <CppUTest/TestHarness.h>
