--- a/Source/Control/FailureReportFilter.cxx
+++ b/Source/Control/FailureReportFilter.cxx
@@ -8,31 +8,31 @@
 namespace {
 
 // A report that was not committed by then is lost; the next one is taken.
-constexpr Duration kUnderWay = std::chrono::milliseconds(800);
+constexpr Duration kCommitTimeout = std::chrono::milliseconds(800);
 
 // Two gateways that miss an answer of the same engine within this agree: the
 // streams of all find a dead one within 0.2 s.
-constexpr Duration kAgree = std::chrono::milliseconds(400);
+constexpr Duration kConfirmationWindow = std::chrono::milliseconds(400);
 
 } // namespace
 
 bool
-SuspicionFilter::IsAgreed(TimePoint aNow,
-                          const Start& aStart,
-                          const std::string& aGateway)
+FailureReportFilter::RecordUnconfirmed(TimePoint aNow,
+                                       const EndpointIncarnation& aEndpoint,
+                                       const std::string& aGateway)
 {
-  std::erase_if(m_doubts, [aNow](const auto& aNoted) {
-    return aNow - aNoted.second.m_at >= kAgree;
+  std::erase_if(m_unconfirmed, [aNow](const auto& aNoted) {
+    return aNow - aNoted.second.m_at >= kConfirmationWindow;
   });
-  const auto [place, isFirst] =
-    m_doubts.try_emplace(aStart, Doubt{ aGateway, aNow });
-  return !isFirst && place->second.m_gateway != aGateway;
+  const auto [entry, isFirst] =
+    m_unconfirmed.try_emplace(aEndpoint, UnconfirmedReport{ aGateway, aNow });
+  return !isFirst && entry->second.m_gateway != aGateway;
 }
 
 bool
-SuspicionFilter::IsNew(TimePoint aNow,
-                       const state::ConfigImageT& aImage,
-                       const state::SuspectEndpointT& aReport)
+FailureReportFilter::AcceptReport(TimePoint aNow,
+                                  const state::ConfigImageT& aImage,
+                                  const state::SuspectEndpointT& aReport)
 {
   if (!aReport.endpoint) {
     return true; // refused where it is applied
@@ -47,15 +47,15 @@
   if (isKnown) {
     return false;
   }
-  const Start start(reference.id, reference.incarnation);
+  const EndpointIncarnation endpoint(reference.id, reference.incarnation);
   if (!aReport.unsure_gateway.empty() &&
-      !IsAgreed(aNow, start, aReport.unsure_gateway)) {
+      !RecordUnconfirmed(aNow, endpoint, aReport.unsure_gateway)) {
     return false;
   }
   std::erase_if(m_reportedAt, [aNow](const auto& aReported) {
-    return aNow - aReported.second >= kUnderWay;
+    return aNow - aReported.second >= kCommitTimeout;
   });
-  return m_reportedAt.emplace(start, aNow).second;
+  return m_reportedAt.emplace(endpoint, aNow).second;
 }
 
 } // namespace parsleycove
--- a/Source/Control/FeedBackend.h
+++ b/Source/Control/FeedBackend.h
@@ -23,7 +23,7 @@
 
   // False when this replica does not lead: the command was not taken.
   virtual bool ProposeCommand(const state::CommandT& aCommand,
-                              ProposalTable::Handler aHandler) = 0;
+                              PendingProposals::Handler aHandler) = 0;
   // Calls back once the state is current as of now, or cannot be confirmed.
   virtual void ConfirmState(ReadHandler aHandler) = 0;
   virtual void AddMember(const feed::AddReplicaT& aRequest,
--- a/Source/Control/PendingProposals.cxx
+++ b/Source/Control/PendingProposals.cxx
@@ -6,34 +6,36 @@
 namespace parsleycove {
 
 void
-ProposalTable::Add(std::uint64_t aIndex, std::uint64_t aTerm, Handler aHandler)
+PendingProposals::Add(std::uint64_t aIndex,
+                      std::uint64_t aTerm,
+                      Handler aHandler)
 {
-  m_waiting[aIndex] = { aTerm, std::move(aHandler) };
+  m_pending[aIndex] = { aTerm, std::move(aHandler) };
 }
 
 void
-ProposalTable::Resolve(std::uint64_t aIndex,
-                       std::uint64_t aTerm,
-                       const state::CommandResultT& aResult)
+PendingProposals::Resolve(std::uint64_t aIndex,
+                          std::uint64_t aTerm,
+                          const state::CommandResultT& aResult)
 {
-  const auto found = m_waiting.find(aIndex);
-  if (found == m_waiting.end()) {
+  const auto found = m_pending.find(aIndex);
+  if (found == m_pending.end()) {
     return;
   }
-  const Waiting waiting = std::move(found->second);
-  m_waiting.erase(found);
-  if (waiting.m_term == aTerm) {
-    waiting.m_handler(aResult);
+  const Proposal proposal = std::move(found->second);
+  m_pending.erase(found);
+  if (proposal.m_term == aTerm) {
+    proposal.m_handler(aResult);
   } else {
-    waiting.m_handler(std::nullopt);
+    proposal.m_handler(std::nullopt);
   }
 }
 
 void
-ProposalTable::FailAll()
+PendingProposals::FailAll()
 {
-  for (const auto& [index, waiting] : std::exchange(m_waiting, {})) {
-    waiting.m_handler(std::nullopt);
+  for (const auto& [index, proposal] : std::exchange(m_pending, {})) {
+    proposal.m_handler(std::nullopt);
   }
 }
 
--- a/Source/Control/ReplicaNodeOptions.h
+++ b/Source/Control/ReplicaNodeOptions.h
@@ -23,8 +23,8 @@
 ReplicaCoreOptions
 MakeReplicaCoreOptions(const ReplicaServiceOptions& aOptions);
 
-LeaderDutiesOptions
-MakeLeaderDutiesOptions(const ReplicaServiceOptions& aOptions);
+LeaderMaintenanceOptions
+MakeLeaderMaintenanceOptions(const ReplicaServiceOptions& aOptions);
 
 consensus::MembershipT
 MakeBootstrapMembership(const ReplicaServiceOptions& aOptions);
--- a/Source/Daemon/ControlProcess.cxx
+++ b/Source/Daemon/ControlProcess.cxx
@@ -107,7 +107,8 @@
     return DaemonExit::CannotStart;
   }
   ControlClient control(aSettings.m_client);
-  GroupMember member(context, control, DescribeSelf(options), WriteReplicaLog);
+  GroupMembershipClient member(
+    context, control, DescribeSelf(options), WriteReplicaLog);
   const auto orders = aDeployment.MakeOrders(context);
   PlacementDirector director(context,
                              control,
