--- a/Source/Control/FailureReportFilter.cxx
+++ b/Source/Control/FailureReportFilter.cxx
@@ -1,4 +1,4 @@
-// Which reports of dead endpoints are worth an entry of the log.
+// Decides which reports of failed endpoints the leader proposes to the log.
 #include "Control/FailureReportFilter.h"
 
 #include <algorithm>
@@ -7,11 +7,12 @@
 
 namespace {
 
-// A report that was not committed by then is lost; the next one is taken.
+// A report that is not committed within this time counts as lost, and the next
+// report of the endpoint is proposed.
 constexpr Duration kCommitTimeout = std::chrono::milliseconds(800);
 
-// Two gateways that miss an answer of the same engine within this agree: the
-// streams of all find a dead one within 0.2 s.
+// Two gateways that miss an answer of the same engine within this time confirm
+// each other: the streams of all gateways detect a failed engine within 0.2 s.
 constexpr Duration kConfirmationWindow = std::chrono::milliseconds(400);
 
 } // namespace
@@ -35,7 +36,7 @@
                                   const state::SuspectEndpointT& aReport)
 {
   if (!aReport.endpoint) {
-    return true; // refused where it is applied
+    return true; // the state machine refuses the command
   }
   const state::EndpointRefT& reference = *aReport.endpoint;
   const bool isKnown = std::any_of(
--- a/Source/Control/GroupMembershipClient.cxx
+++ b/Source/Control/GroupMembershipClient.cxx
@@ -1,4 +1,4 @@
-// Keeps this VM's replica a member of the group.
+// Keeps this VM's replica in the membership of the replica group.
 #include "Control/GroupMembershipClient.h"
 
 #include <algorithm>
@@ -12,8 +12,9 @@
 
 namespace {
 
-// While this replica is missing from the group, or the group does not answer.
+// Used while this replica is not a member, or while the group does not answer.
 constexpr std::chrono::milliseconds kRetryIntervalMs{ 200 };
+// Used while this replica is a member.
 constexpr std::chrono::seconds kCheckIntervalS{ 2 };
 constexpr std::chrono::milliseconds kCallTimeoutMs{ 1500 };
 
@@ -53,7 +54,7 @@
       });
   }
 
-  // Handlers of the port run on its own thread.
+  // Called by the handlers of the ControlPort, which run on the port's thread.
   void PostScheduleCheck(std::chrono::milliseconds aAfter)
   {
     asio::post(m_context, [self = shared_from_this(), aAfter] {
@@ -76,15 +77,15 @@
         } else if (known) {
           self->Join();
         } else {
-          self->LogFault("the group does not tell its members: " +
+          self->LogFault("cannot read the members of the group: " +
                          aReason.m_text);
           self->PostScheduleCheck(kRetryIntervalMs);
         }
       });
   }
 
-  // One line for the same fault in a row. The port ends one call before the
-  // next one starts.
+  // Logs a fault unless the previous call had the same fault. m_lastFault needs
+  // no lock, since one call of the port ends before the next one starts.
   void LogFault(std::string aFault)
   {
     if (aFault != m_lastFault) {
@@ -101,7 +102,7 @@
       [self = shared_from_this()](const auto& aReply,
                                   const ControlReason& aReason) {
         if (!aReply || !aReply->ok) {
-          self->LogFault("the group does not add this "
+          self->LogFault("the group did not add this "
                          "replica: " +
                          (aReply ? aReply->text : aReason.m_text));
         }
--- a/Source/Control/GroupMembershipClient.h
+++ b/Source/Control/GroupMembershipClient.h
@@ -1,4 +1,4 @@
-// Keeps this VM's replica a member of the group.
+// Keeps this VM's replica in the membership of the replica group.
 #pragma once
 
 #include <memory>
@@ -11,10 +11,10 @@
 
 namespace parsleycove {
 
-// Asks the leader for the members from time to time, and to be added where
-// this replica is missing. A replica whose disk was lost has a new identity,
-// and one that was removed while it was cut off still has its log; both join
-// as learners.
+// Periodically reads the members from the leader and asks to be added if this
+// replica is not a member. Two kinds of replicas join this way, both as
+// learners: a replica whose disk was lost, which has a new identity, and a
+// replica that was removed while it was partitioned, which still has its log.
 class GroupMembershipClient
 {
 public:
@@ -26,6 +26,7 @@
   GroupMembershipClient(const GroupMembershipClient&) = delete;
   GroupMembershipClient& operator=(const GroupMembershipClient&) = delete;
 
+  // Starts the periodic check. Destroying the object ends the checks.
   void Start();
 
 private:
--- a/Source/Control/InboundLinks.cxx
+++ b/Source/Control/InboundLinks.cxx
@@ -1,4 +1,4 @@
-// The accepted links of a replica, from peers and from gateways.
+// Owns the links that a replica has accepted from peers and gateways.
 #include "Control/InboundLinks.h"
 
 #include <utility>
@@ -37,7 +37,7 @@
 void
 InboundLinks::OnOpen(FrameLink& /*aLink*/)
 {
-  // The other side speaks first.
+  // The side that connected sends the first message.
 }
 
 void
@@ -61,8 +61,7 @@
 InboundLinks::Reject(FrameLink& aLink)
 {
   const FrameLink::Pointer link(&aLink);
-  m_handlers.m_log(aLink.PeerName() +
-                   ": malformed message, the link is closed");
+  m_handlers.m_log(aLink.PeerName() + ": malformed message; closing the link");
   m_handlers.m_onClosed(aLink);
   m_links.erase(&aLink);
   link->Close();
--- a/Source/Control/InboundLinks.h
+++ b/Source/Control/InboundLinks.h
@@ -1,4 +1,4 @@
-// The accepted links of a replica, from peers and from gateways.
+// Owns the links that a replica has accepted from peers and gateways.
 #pragma once
 
 #include <functional>
@@ -10,8 +10,9 @@
 
 namespace parsleycove {
 
-// Sorts received frames by their kind. A link with a malformed message is
-// closed, since nothing after it can be trusted.
+// Decodes received frames and passes them to the handler for their kind. A
+// malformed message closes its link, since later data on the link cannot be
+// trusted.
 class InboundLinks final : public FrameLinkListener
 {
 public:
--- a/Source/Control/LeaderMaintenance.cxx
+++ b/Source/Control/LeaderMaintenance.cxx
@@ -1,4 +1,6 @@
-// What a leader does besides replicating: leases, in-force index, promotion.
+// Performs the leader's work besides log replication: tracks the leases of
+// endpoints and gateways and the in-force index, and selects learners to
+// promote.
 #include "Control/LeaderMaintenance.h"
 
 #include <algorithm>
@@ -100,7 +102,8 @@
   if (!dropped.endpoints.empty()) {
     commands.push_back(MakeCommand(std::move(dropped)));
   }
-  // Gateways were reported to an earlier leader until this term began.
+  // Until this term began, replicas reported gateways to an earlier leader. A
+  // gateway counts as expired only after a full lease within this term.
   if (aNow - m_startedAt < m_options.m_gatewayLease) {
     return commands;
   }
@@ -118,8 +121,8 @@
                                       const std::string& aVm,
                                       const ReplicatedState& aState) const
 {
-  // The newest process that is expired; GatewayGone takes the older ones along,
-  // which cannot run beside it on the same VM.
+  // The newest expired process is enough: GatewayGone also covers the older
+  // processes, which cannot run at the same time on the same VM.
   std::uint64_t epoch = 0;
   constexpr auto kAnyEpoch = std::numeric_limits<std::uint64_t>::max();
   for (const auto* record : aState.FindHeldActions(aVm, kAnyEpoch)) {
@@ -148,7 +151,7 @@
   const consensus::MembershipT& members = aReplica.Members();
   for (std::size_t i = 0; i < members.members.size(); ++i) {
     const consensus::MemberT& member = *members.members[i];
-    // A follower reports only what it has synced as matching.
+    // The match index of a member covers only entries that it has synced.
     const std::uint64_t match = aReplica.MatchIndex(member.replica);
     const bool near =
       match != 0 && match + m_options.m_maxLearnerLag >= aReplica.CommitIndex();
--- a/Source/Control/LeaderMaintenance.h
+++ b/Source/Control/LeaderMaintenance.h
@@ -1,4 +1,6 @@
-// What a leader does besides replicating: leases, in-force index, promotion.
+// Performs the leader's work besides log replication: tracks the leases of
+// endpoints and gateways and the in-force index, and selects learners to
+// promote.
 #pragma once
 
 #include <cstdint>
@@ -18,11 +20,12 @@
   Duration m_configLease = std::chrono::milliseconds(3000);
   Duration m_endpointLease = std::chrono::seconds(10);
   Duration m_gatewayLease = std::chrono::seconds(15);
-  // A learner this close to the commit index is promoted.
+  // A learner is promoted once it lags the commit index by at most this many
+  // entries.
   std::uint64_t m_maxLearnerLag = 64;
 };
 
-// Kept for one term as leader; a new term starts with a new object.
+// Kept for one term as leader. The next term starts with a new object.
 class LeaderMaintenance
 {
 public:
@@ -31,31 +34,39 @@
                     const state::ConfigImageT& aConfig);
 
   void UpdateConfig(TimePoint aNow, const state::ConfigImageT& aConfig);
-  // A replica's report, the leader's own among them.
+  // Records the report of a replica: the gateways that it feeds, the index that
+  // they have applied, and the renewed leases. The leader also records its own.
   void RecordReport(TimePoint aNow,
                     std::uint64_t aReplica,
                     const consensus::ReadIndexT& aReport);
+  // Returns the highest index known to be in force, at most aCommitIndex; 0
+  // while none is known.
   std::uint64_t InForceIndex(TimePoint aNow, std::uint64_t aCommitIndex);
 
-  // Gateways that take callers, as replicas reported within a lease.
+  // Returns the number of gateways that serve callers: the sum over the
+  // replicas that reported within the last configuration lease.
   std::uint32_t GatewayCount(TimePoint aNow) const;
 
-  // Commands for leases that ran out. Each comes again until it was applied.
+  // Returns commands for the leases that expired. A command is returned again
+  // until it has been applied.
   std::vector<state::CommandT> FindExpired(TimePoint aNow,
                                            std::uint64_t aUnixMs,
                                            const ReplicatedState& aState);
-  // The membership with one learner promoted that has caught up and synced.
+  // Returns the membership with one learner promoted to voter, or std::nullopt
+  // if no learner has synced entries close enough to the commit index.
   std::optional<consensus::MembershipT> FindPromotion(
     const Replica& aReplica) const;
 
 private:
+  // Returns the command for the expired gateway processes of this VM, or
+  // std::nullopt if none of them holds an action.
   std::optional<state::GatewayGoneT> FindExpiredGateway(
     TimePoint aNow,
     std::uint64_t aUnixMs,
     const std::string& aVm,
     const ReplicatedState& aState) const;
 
-  // Gateways that a replica feeds.
+  // How many gateways a replica feeds, by its latest report.
   struct FeedReport
   {
     std::uint32_t m_count = 0;
@@ -66,10 +77,10 @@
   const TimePoint m_startedAt;
   EndpointLeaseTable m_endpoints;
   InForceTracker m_inForce;
-  // Endpoints of the registry by their hash.
+  // Endpoints of the registry by the hash that identifies them in reports.
   std::unordered_map<std::uint64_t, state::EndpointRefT> m_endpointOfKey;
   std::unordered_map<std::uint64_t, FeedReport> m_feeds;
-  // When each gateway process was last reported by a replica.
+  // When a replica last reported each gateway process, by its hash.
   std::unordered_map<std::uint64_t, TimePoint> m_gatewayReportedAt;
 };
 
--- a/Source/Control/LeaseKey.cxx
+++ b/Source/Control/LeaseKey.cxx
@@ -1,4 +1,4 @@
-// Short names of endpoints and gateways for reports between replicas.
+// Hashes that identify endpoints and gateways in reports between replicas.
 #include "Control/LeaseKey.h"
 
 #define XXH_INLINE_ALL
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Separate seeds keep an endpoint's name from passing for a gateway's.
+// Separate seeds keep the hash of an endpoint from matching the hash of a
+// gateway with the same name and number.
 constexpr std::uint64_t kEndpointSeed = 1;
 constexpr std::uint64_t kGatewaySeed = 2;
 
--- a/Source/Control/LeaseKey.h
+++ b/Source/Control/LeaseKey.h
@@ -1,4 +1,4 @@
-// Short names of endpoints and gateways for reports between replicas.
+// Hashes that identify endpoints and gateways in reports between replicas.
 #pragma once
 
 #include <cstdint>
@@ -6,11 +6,11 @@
 
 namespace parsleycove {
 
-// 64-bit hash of an endpoint with its incarnation.
+// Returns the 64-bit hash of an endpoint's id and incarnation.
 std::uint64_t
 HashEndpoint(const std::string& aId, std::uint64_t aIncarnation);
 
-// 64-bit hash of a gateway with its process's start number.
+// Returns the 64-bit hash of a gateway's VM and the epoch of its process.
 std::uint64_t
 HashGateway(const std::string& aVm, std::uint64_t aEpoch);
 
--- a/Source/Control/MembershipRepair.cxx
+++ b/Source/Control/MembershipRepair.cxx
@@ -1,5 +1,5 @@
-// Decides when the group of replicas needs another voter, and which member it
-// can do without.
+// Decides when the group of replicas needs another voter and which member to
+// remove.
 #include "Control/MembershipRepair.h"
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 
 namespace {
 
-// A learner that never caught up is given more time than a voter: it may be
-// reading a snapshot.
+// A learner that has not caught up gets a longer time-out than a voter, since
+// it may be installing a snapshot.
 constexpr int kLearnerTimeoutFactor = 3;
 
 } // namespace
@@ -70,7 +70,8 @@
       CountVoters(aMembers) < m_options.m_targetVoters) {
     return true;
   }
-  // One voter more than the target at most: the lost one goes next.
+  // Allows one voter more than the target at most. The unresponsive voter is
+  // removed next.
   return CountVoters(aMembers) == m_options.m_targetVoters &&
          std::any_of(aMembers.members.begin(),
                      aMembers.members.end(),
--- a/Source/Control/MembershipRepair.h
+++ b/Source/Control/MembershipRepair.h
@@ -1,8 +1,8 @@
-// Decides when the group of replicas needs another voter, and which member it
-// can do without.
+// Decides when the group of replicas needs another voter and which member to
+// remove.
 //
-// Pattern: a VM is lost for good, or comes back at its address with an empty
-// disk and so with a new identity, and a second loss may follow at once.
+// Handles the permanent loss of a VM, also one that returns at its address with
+// an empty disk and therefore a new identity. A second loss may follow at once.
 #pragma once
 
 #include <cstddef>
@@ -16,26 +16,30 @@
 
 struct MembershipRepairOptions
 {
-  // 0: members are changed by operators only.
+  // 0: only operators change the members.
   std::size_t m_targetVoters = 0;
+  // A voter without a message for this long is unresponsive.
   Duration m_memberTimeout = std::chrono::seconds(3);
 };
 
-// Used by the leader. A voter goes only once its replacement votes.
+// Used by the leader. An unresponsive voter is removed only once its
+// replacement is a voter, so removals never take the group below its target.
 class MembershipRepair
 {
 public:
   explicit MembershipRepair(const MembershipRepairOptions& aOptions);
 
-  // A new term as leader: silence counts from here.
+  // Starts a term as leader: members without a message count as unresponsive
+  // from aNow on, whatever an earlier term has recorded.
   void Start(TimePoint aNow);
+  // Records a message received from this replica.
   void RecordMessage(TimePoint aNow, std::uint64_t aReplica);
 
-  // Whether a learner that has caught up should vote.
+  // Returns whether a learner that has caught up should become a voter.
   bool NeedsVoter(TimePoint aNow,
                   const consensus::MembershipT& aMembers,
                   std::uint64_t aSelf) const;
-  // The member to remove next; 0: none.
+  // Returns the member to remove next, 0 if there is none.
   std::uint64_t FindMemberToRemove(TimePoint aNow,
                                    const consensus::MembershipT& aMembers,
                                    std::uint64_t aSelf) const;
--- a/Source/Control/PendingProposals.cxx
+++ b/Source/Control/PendingProposals.cxx
@@ -1,4 +1,4 @@
-// Proposals of this leader that wait for their entry to be applied.
+// Holds this leader's proposals until their log entries are applied.
 #include "Control/PendingProposals.h"
 
 #include <utility>
--- a/Source/Control/PendingProposals.h
+++ b/Source/Control/PendingProposals.h
@@ -1,4 +1,4 @@
-// Proposals of this leader that wait for their entry to be applied.
+// Holds this leader's proposals until their log entries are applied.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,17 @@
 
 namespace parsleycove {
 
-// Matches applied entries with proposals by index and term.
+// Matches applied entries with proposals by log index and term.
 class PendingProposals
 {
 public:
-  // Empty: the leadership was lost, the outcome is unknown.
+  // Receives the result, or std::nullopt if the outcome is unknown because the
+  // leadership was lost.
   using Handler = std::function<void(std::optional<state::CommandResultT>)>;
 
   void Add(std::uint64_t aIndex, std::uint64_t aTerm, Handler aHandler);
-  // An entry was applied; one of another term has taken the proposal's place.
+  // Called for each applied entry. An entry of another term means that the
+  // proposal was replaced in the log; its handler gets std::nullopt.
   void Resolve(std::uint64_t aIndex,
                std::uint64_t aTerm,
                const state::CommandResultT& aResult);
@@ -33,7 +35,7 @@
     Handler m_handler;
   };
 
-  std::map<std::uint64_t, Proposal> m_pending; // by index
+  std::map<std::uint64_t, Proposal> m_pending; // by log index
 };
 
 } // namespace parsleycove
--- a/Source/Control/PendingReads.cxx
+++ b/Source/Control/PendingReads.cxx
@@ -1,4 +1,4 @@
-// Quorum-confirmed reads that wait for their answer or for the state.
+// Holds reads until a quorum has confirmed them and the state has caught up.
 #include "Control/PendingReads.h"
 
 #include <utility>
--- a/Source/Control/PendingReads.h
+++ b/Source/Control/PendingReads.h
@@ -1,4 +1,4 @@
-// Quorum-confirmed reads that wait for their answer or for the state.
+// Holds reads until a quorum has confirmed them and the state has caught up.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +10,20 @@
 
 namespace parsleycove {
 
-// A read is current once the state has applied the index that a quorum has
-// confirmed for it.
+// A read completes once the state machine has applied the index that a quorum
+// confirmed for the read.
 class PendingReads
 {
 public:
-  // The answer; with m_ok set the state is current as of the request.
+  // Receives the outcome. With m_ok set, the state is at least as recent as the
+  // read request.
   using Handler = std::function<void(const ReadState&)>;
 
-  // Returns the id to ask the log with.
+  // Returns the id for the ReadIndex request to the log.
   std::uint64_t Add(Handler aHandler);
+  // Records the quorum's confirmation. A read that failed completes at once.
   void Answer(const ReadState& aRead);
-  // Calls the handlers of the reads up to the applied index.
+  // Completes the confirmed reads up to the applied index.
   void Advance(std::uint64_t aAppliedIndex);
 
 private:
@@ -33,7 +35,7 @@
 
   std::uint64_t m_lastId = 0;
   std::unordered_map<std::uint64_t, Handler> m_unconfirmed;
-  std::multimap<std::uint64_t, Confirmed> m_confirmed; // by index
+  std::multimap<std::uint64_t, Confirmed> m_confirmed; // by log index
 };
 
 } // namespace parsleycove
--- a/Source/Control/ReplicaCore.cxx
+++ b/Source/Control/ReplicaCore.cxx
@@ -1,4 +1,4 @@
-// One replica's log, store and state machine, driven together.
+// Runs the log, the store and the state machine of one replica.
 #include "Control/ReplicaCore.h"
 
 #include <utility>
@@ -178,10 +178,11 @@
   const auto command =
     DecodeCommand(aEntry.data.data(), aEntry.data.size(), reason);
   if (!command) {
-    // Going on would make this replica's state differ from the others'.
+    // Skipping the entry would make this replica's state differ from the state
+    // of the other replicas.
     m_failed = true;
-    m_listener.OnFatal("log entry " + std::to_string(aEntry.index) + ": " +
-                       reason.m_text);
+    m_listener.OnFatal("cannot decode log entry " +
+                       std::to_string(aEntry.index) + ": " + reason.m_text);
     return false;
   }
   const auto result = m_state.Apply(aEntry.index, aEntry.term, *command);
--- a/Source/Control/ReplicaCore.h
+++ b/Source/Control/ReplicaCore.h
@@ -1,4 +1,4 @@
-// One replica's log, store and state machine, driven together.
+// Runs the log, the store and the state machine of one replica.
 #pragma once
 
 #include <cstdint>
@@ -21,34 +21,40 @@
 struct ReplicaCoreOptions
 {
   ReplicaOptions m_replica;
-  // A snapshot is taken after this many entries or bytes of the log.
+  // A snapshot is written after this many applied entries, or once the log has
+  // this many bytes.
   std::uint64_t m_snapshotEntries = 20000;
   std::uint64_t m_snapshotBytes = 64UL * 1024 * 1024;
 };
 
-// What the core needs of its surroundings.
+// Receives the messages and events of a ReplicaCore.
 class ReplicaCoreListener
 {
 public:
   virtual ~ReplicaCoreListener() = default;
   virtual void SendToPeer(consensus::PeerMessageT aMessage) = 0;
-  // A command of the configuration took effect.
+  // Called after a command that changes the configuration was applied.
   virtual void OnConfigChanged(std::uint64_t aIndex,
                                const state::CommandT& aCommand) = 0;
-  // The whole state was replaced by a snapshot.
+  // Called after a received snapshot replaced the whole state.
   virtual void OnStateReplaced() = 0;
+  // Called for each report that a follower sent to this leader.
   virtual void OnReport(const FollowerReport& aReport) = 0;
-  // The replica cannot go on; nothing may be called on it any more.
+  // Called when the replica cannot continue. The core must not be called
+  // afterwards.
   virtual void OnFatal(const std::string& aText) = 0;
 };
 
-// Drives a Replica: stores and syncs what it has ready as one group, sends,
-// applies and answers. Blocks for the sync; makes no other wait. The time of a
-// call is taken before its sync, so leases are only ever judged too short.
+// Processes the output of a Replica: stores and syncs all ready entries as one
+// group, sends messages, applies committed entries and answers proposals and
+// reads. Blocks during the sync and nowhere else. The time passed to a call is
+// taken before the sync, so a lease can only be judged too short, never too
+// long.
 class ReplicaCore
 {
 public:
-  // Opens the folder and replays it. aBootstrap is used for an empty log only.
+  // Opens the data folder and restores the log and the state. aBootstrap is
+  // used only if the log is empty. Returns nullptr and sets aReason on failure.
   static std::unique_ptr<ReplicaCore> Open(
     Files& aFiles,
     const std::string& aFolder,
@@ -63,22 +69,26 @@
   {
     m_replica.Step(aNow, aMessage);
   }
-  // Works off everything that is ready. False once the store has failed.
+  // Processes everything that the log has ready. Returns false once the store
+  // has failed or an entry could not be applied.
   bool ProcessReady(TimePoint aNow);
 
-  // False when this replica does not lead; the handler is dropped then.
+  // Returns false if this replica is not the leader; the handler is then not
+  // called.
   bool Propose(TimePoint aNow,
                const state::CommandT& aCommand,
                PendingProposals::Handler aHandler);
-  // Returns false with the log's reason; the handler is dropped then.
+  // Returns false if the log refuses the change, with the reason in
+  // Log().LastReason(); the handler is then not called.
   bool ProposeMembership(TimePoint aNow,
                          consensus::MembershipT aNext,
                          PendingProposals::Handler aHandler);
-  // Sends a report to the leader and confirms a read by the same round trip.
+  // Sends a report to the leader and confirms a read in the same round trip.
   void Read(TimePoint aNow,
             consensus::ReadIndexT aReport,
             PendingReads::Handler aHandler);
-  // The leadership was lost: every proposal's outcome is unknown.
+  // Ends all proposals with an unknown outcome. Called when the leadership is
+  // lost.
   void FailProposals() { m_proposals.FailAll(); }
 
   const Replica& Log() const { return m_replica; }
@@ -109,7 +119,7 @@
   std::unique_ptr<LogStore> m_store;
   Replica m_replica;
   ReplicatedState m_state;
-  // Invariant: m_state contains the log up to here.
+  // Invariant: m_state contains the log up to and including this index.
   std::uint64_t m_applied = 0;
   std::uint64_t m_snapshotIndex = 0;
   bool m_failed = false;
--- a/Source/Control/ReplicaIdentity.cxx
+++ b/Source/Control/ReplicaIdentity.cxx
@@ -1,4 +1,5 @@
-// Which identity a replica starts under, and whether it founds a group.
+// Chooses the identity under which a replica starts, and whether it founds a
+// new group.
 #include "Control/ReplicaIdentity.h"
 
 #include <algorithm>
@@ -9,9 +10,10 @@
 
 namespace {
 
+// Parameters of the 64-bit FNV-1a hash.
 constexpr std::uint64_t kFnvOffsetBasis = 0xCBF29CE484222325ULL;
 constexpr std::uint64_t kFnvPrime = 0x100000001B3ULL;
-// Founders have the upper bit clear, drawn identities have it set.
+// The top bit is clear in founders' identities and set in random ones.
 constexpr std::uint64_t kRandomIdentityBit = 1ULL << 63U;
 
 std::uint64_t
@@ -79,7 +81,8 @@
   if (!names) {
     return false;
   }
-  // The identity goes last: without it the rest is no log of anybody's.
+  // The identity file is removed last: without it, remaining files could not be
+  // attributed to a replica.
   const std::string prefix = aFolder + "/";
   for (const std::string& name : *names) {
     if (name != kIdentityName && !aFiles.Remove(prefix + name, aReason)) {
--- a/Source/Control/ReplicaIdentity.h
+++ b/Source/Control/ReplicaIdentity.h
@@ -1,4 +1,5 @@
-// Which identity a replica starts under, and whether it founds a group.
+// Chooses the identity under which a replica starts, and whether it founds a
+// new group.
 #pragma once
 
 #include <cstdint>
@@ -10,36 +11,38 @@
 
 namespace parsleycove {
 
-// What is known of a VM at its start.
+// What a VM knows when its replica starts.
 struct ReplicaStart
 {
   std::string m_folder;
-  SocketAddress m_own;
-  // Founding members, the same list on every VM of a new group.
+  SocketAddress m_own; // address of this replica
+  // Addresses of the founding members. Every VM of a new group has the same
+  // list.
   std::vector<SocketAddress> m_founders;
   // True only at the very first start of the whole system.
   bool m_isFirstStart = false;
-  // For an identity that nobody had before.
+  // Random number from which a new, unused identity is derived.
   std::uint64_t m_random = 0;
 };
 
 struct ReplicaIdentity
 {
   std::uint64_t m_replica = 0;
-  // Empty: the replica joins a group that is there.
+  // Empty: the replica joins an existing group.
   std::vector<ReplicaSeed> m_bootstrap;
 };
 
-// The founders' identities follow from their addresses, so that all of them
-// begin with the same members. Every other replica draws one, and so does a
-// founder whose disk was lost: its old identity may have promised votes and
-// entries that the new disk does not hold. Nothing with a reason when the
-// folder cannot be read.
+// Returns the identity stored in the folder, or a new one for a folder without
+// an identity. A founder's identity is derived from its address, so that all
+// founders start with the same members. Every other replica gets a random
+// identity. So does a founder whose disk was lost: under its old identity it
+// may have acknowledged votes and entries that the new disk does not hold.
+// Returns std::nullopt and sets aReason if the folder cannot be read.
 std::optional<ReplicaIdentity>
 ChooseIdentity(Files& aFiles, const ReplicaStart& aStart, StoreReason& aReason);
 
-// Empties a data folder that is damaged, so that the replica can come back as
-// a new one.
+// Empties a damaged data folder, so that the VM can rejoin the group as a new
+// replica. Returns false and sets aReason on failure.
 bool
 DiscardFolder(Files& aFiles, const std::string& aFolder, StoreReason& aReason);
 
--- a/Source/Control/ReplicaNode.cxx
+++ b/Source/Control/ReplicaNode.cxx
@@ -1,4 +1,5 @@
-// The surroundings of a replica's core on one Asio thread.
+// Connects a ReplicaCore with timers, peer links and gateway feeds on one Asio
+// thread.
 #include "Control/ReplicaNode.h"
 
 #include <algorithm>
@@ -17,7 +18,7 @@
 
 namespace {
 
-// Rounds follow one another this fast while a change is not yet in force.
+// Interval of report rounds while a configuration change is not yet in force.
 constexpr std::chrono::milliseconds kBusyRoundMs{ 100 };
 constexpr std::chrono::milliseconds kMinTickMs{ 1 };
 
@@ -185,7 +186,8 @@
     m_maintenance.reset();
     if (leads) {
       m_repair.Start(BootClock::now());
-      Log(ControlLogLevel::Info, "leads in term " + std::to_string(term));
+      Log(ControlLogLevel::Info,
+          "became leader in term " + std::to_string(term));
       m_maintenance.emplace(MakeLeaderMaintenanceOptions(m_options),
                             BootClock::now(),
                             State().Config());
@@ -281,12 +283,13 @@
   }
 }
 
-// Rounds ---------------------------------------------------------------------
+// Report rounds --------------------------------------------------------------
 
 void
 ReplicaNode::ScheduleRound(Duration aAfter)
 {
-  // Only ever brought forward: a run of changes must not put it off for good.
+  // A scheduled round is only brought forward, never postponed: otherwise a
+  // series of changes could postpone it without end.
   const TimePoint at = BootClock::now() + aAfter;
   if (m_roundAt && *m_roundAt <= at) {
     return;
--- a/Source/Control/ReplicaNode.h
+++ b/Source/Control/ReplicaNode.h
@@ -1,4 +1,5 @@
-// The surroundings of a replica's core on one Asio thread.
+// Connects a ReplicaCore with timers, peer links and gateway feeds on one Asio
+// thread.
 #pragma once
 
 #include <atomic>
@@ -26,11 +27,12 @@
 
 namespace parsleycove {
 
-// Moves messages and time into the core and what comes out to peers and feeds.
-// Everything runs on the thread of the io_context.
+// Passes received messages and the time to the core, and sends the core's
+// output to peers and gateway feeds. Everything runs on the thread of the
+// io_context except for the methods marked otherwise.
 //
-// Every event that makes work posts one call of ProcessReady; all events that
-// are ready before it share its one sync.
+// An event that gives the core work posts one call of ProcessReady. All events
+// handled before that call share its single sync.
 class ReplicaNode final
   : public ReplicaCoreListener
   , public FeedBackend
@@ -45,7 +47,7 @@
   bool Open(ControlServiceReason& aReason);
   void Close();
 
-  // Any thread.
+  // IsLeader, LedTerm and PublishedApplied may be called from any thread.
   bool IsLeader() const { return m_leads.load(); }
   std::uint64_t LedTerm() const
   {
@@ -86,14 +88,20 @@
   void UpdateRole();
   void UpdatePeers();
   void ScheduleTick();
+  // Schedules the next report round, or brings the scheduled one forward. In a
+  // round this replica reports its gateways to the leader and has its state
+  // confirmed as current by a quorum.
   void ScheduleRound(Duration aAfter);
   void StartRound();
+  // Returns a report of the gateways' indices and count, without renewals.
   consensus::ReadIndexT MakeFeedReport();
-  // Takes the renewals along; they count as passed on.
+  // Returns a full report. Moves the pending renewals into the report: they
+  // count as passed on.
   consensus::ReadIndexT MakeReport();
   void ScheduleMaintenance();
   void PerformMaintenance();
   void RepairMembership(TimePoint aNow);
+  // Returns whether enough voters hold the log to accept a routing document.
   bool CanAcceptDocuments() const;
   void ChangeMembers(consensus::MembershipT aNext,
                      std::string aDone,
@@ -108,25 +116,26 @@
   FrameAcceptor m_acceptor;
   PeerLinks m_peers;
   std::unique_ptr<ReplicaCore> m_core;
-  // Only while this replica leads.
+  // Set only while this replica is the leader.
   std::optional<LeaderMaintenance> m_maintenance;
   FailureReportFilter m_failureReports;
   boost::asio::steady_timer m_tickTimer;
   boost::asio::steady_timer m_roundTimer;
-  std::optional<TimePoint> m_roundAt; // when the next round starts
+  std::optional<TimePoint> m_roundAt; // when the next report round starts
   boost::asio::steady_timer m_maintenanceTimer;
 
-  std::uint64_t m_ledTerm = 0; // 0: does not lead
+  std::uint64_t m_ledTerm = 0; // 0: not the leader
   std::uint64_t m_knownLeader = 0;
   std::vector<PeerAddress> m_peerAddresses;
-  // Peers' own links, for answers to members not in the membership yet.
+  // The links that peers opened to this replica, for answers to replicas that
+  // are not yet in this replica's membership.
   std::map<std::uint64_t, FrameLink::Pointer> m_peerInbound;
-  // Hashes heard since the last answered round.
+  // Hashes of the endpoints and gateways renewed since the last full report.
   std::unordered_set<std::uint64_t> m_renewedKeys;
   std::uint64_t m_inForceIndex = 0;
   std::uint32_t m_gatewayCount = 0;
   MembershipRepair m_repair;
-  std::uint64_t m_configIndex = 0; // of the last configuration change
+  std::uint64_t m_configIndex = 0; // index of the last configuration change
   bool m_processingRequested = false;
   bool m_closed = false;
   std::atomic<bool> m_leads{ false };
--- a/Source/Control/ReplicaNodeGroup.cxx
+++ b/Source/Control/ReplicaNodeGroup.cxx
@@ -1,4 +1,5 @@
-// The part of ReplicaNode that serves proposals, members and the leader.
+// The part of ReplicaNode that handles proposals, membership changes, status
+// and the periodic maintenance by the leader.
 #include "Control/ReplicaNode.h"
 
 #include <utility>
@@ -50,7 +51,7 @@
     aHandler(std::move(known));
     return true;
   }
-  // The leader's clock counts, not the proposer's.
+  // Commands carry the time of the leader's clock, not of the proposer's clock.
   state::CommandT stamped = aCommand;
   StampCommand(stamped, SystemClock().UnixMs());
   const bool taken =
@@ -81,7 +82,7 @@
 {
   consensus::MembershipT next(m_core->Log().Members());
   if (FindMember(next, aRequest.replica) != nullptr) {
-    aHandler(MakeAdminReply(true, "replica is a member already"));
+    aHandler(MakeAdminReply(true, "replica is already a member"));
     return;
   }
   auto member = std::make_unique<consensus::MemberT>();
@@ -102,7 +103,7 @@
 {
   consensus::MembershipT next(m_core->Log().Members());
   if (FindMember(next, aReplica) == nullptr) {
-    aHandler(MakeAdminReply(true, "replica is no member"));
+    aHandler(MakeAdminReply(true, "replica is not a member"));
     return;
   }
   std::erase_if(next.members, [&](const auto& aMember) {
@@ -118,7 +119,7 @@
 {
   if (m_core->Log().Role() != ReplicaRole::Leader) {
     feed::AdminReplyT reply =
-      MakeAdminReply(false, "this replica is no leader");
+      MakeAdminReply(false, "this replica is not the leader");
     reply.not_leader = true;
     aHandler(std::move(reply));
     return;
@@ -128,9 +129,11 @@
     std::move(aNext),
     [aHandler, done = std::move(aDone)](
       const std::optional<state::CommandResultT>& aResult) {
-      aHandler(aResult ? MakeAdminReply(true, done)
-                       : MakeAdminReply(
-                           false, "leadership was lost; ask for the status"));
+      aHandler(
+        aResult
+          ? MakeAdminReply(true, done)
+          : MakeAdminReply(
+              false, "leadership was lost, outcome unknown; check the status"));
     });
   if (!taken) {
     aHandler(MakeAdminReply(false, m_core->Log().LastReason().m_text));
@@ -242,11 +245,11 @@
     return;
   }
   Log(ControlLogLevel::Warning,
-      "removes replica " + std::to_string(failed) + ", silent for " +
+      "removing replica " + std::to_string(failed) + ", silent for " +
         std::to_string(m_repair.MsSinceMessage(aNow, failed)) + " ms");
   RemoveMember(failed, [this](const feed::AdminReplyT& aReply) {
     if (!aReply.ok) {
-      Log(ControlLogLevel::Info, "not removed: " + aReply.text);
+      Log(ControlLogLevel::Info, "replica not removed: " + aReply.text);
     }
   });
 }
--- a/Source/Control/ReplicaNodeOptions.cxx
+++ b/Source/Control/ReplicaNodeOptions.cxx
@@ -1,4 +1,4 @@
-// Derives the settings of a replica's parts from those of the service.
+// Derives the options of a replica's components from ReplicaServiceOptions.
 #include "Control/ReplicaNodeOptions.h"
 
 #include <utility>
--- a/Source/Control/ReplicaNodeOptions.h
+++ b/Source/Control/ReplicaNodeOptions.h
@@ -1,4 +1,4 @@
-// Derives the settings of a replica's parts from those of the service.
+// Derives the options of a replica's components from ReplicaServiceOptions.
 #pragma once
 
 #include <vector>
@@ -29,7 +29,7 @@
 consensus::MembershipT
 MakeBootstrapMembership(const ReplicaServiceOptions& aOptions);
 
-// All members but aSelf.
+// Returns the addresses of all members except aSelf.
 std::vector<PeerAddress>
 ListPeerAddresses(const consensus::MembershipT& aMembers, std::uint64_t aSelf);
 
--- a/Source/Control/ReplicaService.cxx
+++ b/Source/Control/ReplicaService.cxx
@@ -1,4 +1,5 @@
-// A control replica with its own thread: log, store, state, peers and feeds.
+// Runs a control replica on its own thread: log, store, state machine, peer
+// links and gateway feeds.
 #include "Control/ReplicaService.h"
 
 #include <thread>
@@ -14,7 +15,7 @@
 
 namespace asio = boost::asio;
 
-// Runs the node's io_context.
+// Owns the ReplicaNode and the thread that runs its io_context.
 class ReplicaService::Thread
 {
 public:
--- a/Source/Control/ReplicaService.h
+++ b/Source/Control/ReplicaService.h
@@ -1,4 +1,5 @@
-// A control replica with its own thread: log, store, state, peers and feeds.
+// Runs a control replica on its own thread: log, store, state machine, peer
+// links and gateway feeds.
 #pragma once
 
 #include <cstdint>
@@ -8,11 +9,13 @@
 
 namespace parsleycove {
 
-// Runs one member of the replicated log and feeds gateways from it.
+// Runs one member of the replicated log and sends its configuration to
+// gateways.
 class ReplicaService
 {
 public:
-  // Opens the data folder and listens. Null with a reason when it cannot.
+  // Opens the data folder and listens. Returns nullptr and sets aReason on
+  // failure.
   static std::unique_ptr<ReplicaService> Start(
     const ReplicaServiceOptions& aOptions,
     ControlServiceReason& aReason);
@@ -20,12 +23,14 @@
   ReplicaService(const ReplicaService&) = delete;
   ReplicaService& operator=(const ReplicaService&) = delete;
 
-  // Closes every link and joins the thread. May be called again.
+  // Closes every link and joins the thread. Later calls have no effect.
   void Stop();
 
-  // True while this replica leads inside its lease. Any thread.
+  // Returns whether this replica is the leader and its leader lease is valid.
+  // May be called from any thread.
   bool IsLeader() const;
-  // Term that this replica leads, 0 while it does not. Any thread.
+  // Returns the term in which this replica is the leader, 0 while IsLeader() is
+  // false. May be called from any thread.
   std::uint64_t LedTerm() const;
   std::uint64_t AppliedIndex() const;
 
--- a/Source/Control/ReplicaServiceOptions.h
+++ b/Source/Control/ReplicaServiceOptions.h
@@ -1,4 +1,4 @@
-// Settings of a control replica.
+// Options of a control replica.
 #pragma once
 
 #include <cstddef>
@@ -32,7 +32,7 @@
 
 using ControlLog = std::function<void(ControlLogLevel, const std::string&)>;
 
-// A member of the first membership of a new cluster.
+// A member of the initial membership of a new cluster.
 struct ReplicaSeed
 {
   std::uint64_t m_replica = 0;
@@ -43,37 +43,42 @@
 
 struct ReplicaServiceOptions
 {
-  // Never used again once its data folder is lost.
+  // Identity of the replica. Must not be reused after its data folder was lost.
   std::uint64_t m_replica = 0;
   std::uint64_t m_cluster = 0;
   std::string m_vm;
   std::string m_zone;
   std::string m_dataFolder;
   SocketAddress m_listen;
-  // Only on the first start of a new cluster; a folder that already holds a
-  // log ignores it.
+  // Members of a new cluster, set on its first start only. Ignored if the data
+  // folder already holds a log.
   std::vector<ReplicaSeed> m_bootstrap;
 
-  // A document is accepted only while at least this many voters hold the log.
+  // A routing document is accepted only while the group has at least this many
+  // voters.
   std::size_t m_minDocumentVoters = 1;
-  // The leader keeps this many voters: it promotes learners up to here, and
-  // removes voters beyond it that have fallen silent. 0: operators do that.
+  // The leader maintains this many voters: it promotes learners up to this
+  // number and removes unresponsive voters above it. 0: operators change the
+  // members.
   std::size_t m_targetVoters = 0;
-  // A member that the leader has not heard for this long counts as silent.
+  // A voter counts as unresponsive after this long without a message to the
+  // leader.
   Duration m_memberTimeout = std::chrono::seconds(3);
 
   Duration m_heartbeatInterval = std::chrono::milliseconds(100);
   Duration m_electionTimeout = std::chrono::milliseconds(700);
   Duration m_leaderLease = std::chrono::milliseconds(500);
-  // Longest time that a gateway works on a copy that no quorum confirmed.
+  // Longest time that a gateway uses a copy of the configuration that no quorum
+  // has confirmed.
   Duration m_configLease = std::chrono::milliseconds(3000);
-  // How often a replica has its copy confirmed by a quorum.
+  // Interval at which a replica has its copy confirmed by a quorum.
   Duration m_confirmInterval = std::chrono::milliseconds(1000);
-  // An endpoint that is not renewed for this long leaves the registry.
+  // An endpoint whose lease is not renewed for this long is removed from the
+  // registry.
   Duration m_endpointLease = std::chrono::seconds(10);
-  // A gateway that is not heard of for this long counts as gone.
+  // A gateway that no replica reports for this long counts as expired.
   Duration m_gatewayLease = std::chrono::seconds(15);
-  // A silent link is replaced after this long.
+  // A link that receives nothing for this long is replaced.
   Duration m_linkSilenceLimit = std::chrono::seconds(2);
   Duration m_linkHeartbeat = std::chrono::milliseconds(500);
   std::size_t m_maxFrameBytes = 64UL * 1024 * 1024;
@@ -84,8 +89,8 @@
   std::uint64_t m_snapshotBytes = 64UL * 1024 * 1024;
   std::uint64_t m_seed = 1;
 
-  // Called once, on the replica's thread, when it cannot go on, for instance
-  // because its store failed. It must not call Stop.
+  // Called once, on the replica's thread, when the replica cannot continue, for
+  // instance because its store failed. Must not call ReplicaService::Stop.
   std::function<void(const std::string&)> m_onFatal;
   ControlLog m_log;
 };
--- a/Source/Control/SnapshotAssembler.cxx
+++ b/Source/Control/SnapshotAssembler.cxx
@@ -1,4 +1,4 @@
-// Puts the received pieces of a snapshot together.
+// Assembles a snapshot from received chunks.
 #include "Control/SnapshotAssembler.h"
 
 #include <utility>
--- a/Source/Control/SnapshotAssembler.h
+++ b/Source/Control/SnapshotAssembler.h
@@ -1,4 +1,4 @@
-// Puts the received pieces of a snapshot together.
+// Assembles a snapshot from received chunks.
 #pragma once
 
 #include <cstdint>
@@ -15,11 +15,12 @@
   std::vector<std::uint8_t> m_state;
 };
 
-// Pieces come in order; one of another snapshot begins anew.
+// Accepts chunks in order and ignores all others. A chunk of another snapshot,
+// or one at offset 0, discards what was received before.
 class SnapshotAssembler
 {
 public:
-  // Returns the whole after its last piece.
+  // Returns the complete snapshot after its last chunk, std::nullopt before.
   std::optional<ReceivedSnapshot> Add(consensus::InstallSnapshotT aPiece);
 
 private:
--- a/Tests/Control/MembershipRepairTest.cxx
+++ b/Tests/Control/MembershipRepairTest.cxx
@@ -1,11 +1,12 @@
-// Tests of when a replica is promoted or removed, and of identities.
+// Tests when replicas are promoted and removed, and which identity a replica
+// gets.
 #include "Control/MembershipRepair.h"
 #include "Control/Cluster.h"
 #include "Control/ReplicaIdentity.h"
 #include "Store/DiskFiles.h"
 #include "Store/IdentityFile.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
@@ -40,7 +41,7 @@
 {
   MembershipRepair m_repair{ { 5, std::chrono::seconds(3) } };
 
-  // All but aSilent are heard at aMs.
+  // Records a message at aMs from every member except aSilent and the leader.
   void RecordMessages(int aMs, std::uint64_t aMembers, std::uint64_t aSilent)
   {
     for (std::uint64_t i = 2; i <= aMembers; ++i) {
--- a/Tests/Control/RepairEndToEndTest.cxx
+++ b/Tests/Control/RepairEndToEndTest.cxx
@@ -1,4 +1,5 @@
-// Tests of documents, joins and repair with real replicas.
+// Tests routing documents, joining replicas and membership repair with a real
+// group of replicas.
 #include <algorithm>
 #include <atomic>
 #include <memory>
@@ -8,7 +9,7 @@
 #include "Control/Cluster.h"
 #include "Control/GroupMembershipClient.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
@@ -111,7 +112,7 @@
   const auto answer = ProposeUntil(
     *m_client, MakeDocument(1), BootClock::now() + std::chrono::seconds(1));
   CHECK_FALSE(answer.m_value.has_value());
-  // Changes of another kind do not wait for more voters.
+  // Changes of other kinds do not need the minimum of voters for documents.
   CHECK(Propose(*m_client, MakeAnnounce("e1", 1)).m_value.has_value());
 }
 
@@ -147,21 +148,24 @@
   CHECK(Propose(*m_client, MakeDocument(2)).m_value.has_value());
 }
 
-// Found by a day with the group cut in two: a gateway stayed with a replica of
-// the smaller half for as long as its lease ran, on an old configuration.
+// Guards against a gateway that keeps an old configuration while the group is
+// partitioned: a gateway stayed with a replica on the minority side for as long
+// as its lease ran.
 TEST(RepairEndToEnd, AGatewayLeavesAReplicaThatHasLostTheOthers)
 {
   FreezableRelay& relay = m_cluster.AddRelay(0);
   for (std::size_t i = 0; i < 3; ++i) {
-    // Longer than the test waits: only the age of the copy can tell.
+    // The lease outlasts the test, so only the age of the copy can make the
+    // gateway change replicas.
     m_cluster.Options(i).m_configLease = std::chrono::seconds(120);
     m_cluster.Options(i).m_confirmInterval = std::chrono::milliseconds(100);
   }
   StartAll(0);
   m_cluster.WaitForLeader();
   CHECK(Propose(*m_client, MakeDocument(1)).m_value.has_value());
-  // Reaches the replica beside the relay, so it answers all the time. No
-  // replica is in its zone, so it has no other reason to turn to another one.
+  // The reader connects to the replica directly instead of through the relay,
+  // so the replica always answers. No replica is in the reader's zone, so the
+  // zone gives it no reason to change replicas.
   ControlClientOptions options = m_cluster.ClientOptions("vm-y", "zone-x");
   options.m_seeds = { m_cluster.Options(0).m_listen };
   options.m_staleLimit = std::chrono::milliseconds(600);
--- a/Tests/Control/ReplicaCoreFaultTest.cxx
+++ b/Tests/Control/ReplicaCoreFaultTest.cxx
@@ -1,4 +1,6 @@
-// Tests of a replica whose disk fails at any one of its operations.
+// Tests a replica whose disk fails at one of its operations, for each operation
+// in turn. Guards against the loss of acknowledged proposals after a loss of
+// power.
 #include <memory>
 #include <optional>
 #include <string>
@@ -7,7 +9,7 @@
 #include "Control/ReplicaCore.h"
 #include "Store/MemoryFiles.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
@@ -65,7 +67,7 @@
   return command;
 }
 
-// One life of the replica, between a start and a loss of power.
+// One run of the replica, from its start to a loss of power.
 class ReplicaRun
 {
 public:
@@ -80,7 +82,8 @@
       aFiles, "data", options, MakeGroupOfOne(), m_now, m_listener, reason);
   }
 
-  // True once it leads; false when its store has failed.
+  // Returns true once the replica is the leader, false if its store has failed
+  // or no leader was elected within kMaxTicks.
   bool BecomeLeader()
   {
     for (int i = 0; m_core && i < kMaxTicks; ++i) {
@@ -96,7 +99,7 @@
     return false;
   }
 
-  // Returns whether the proposal was answered as applied.
+  // Proposes a reservation. Returns whether its handler received a result.
   bool Reserve(int aNumber)
   {
     bool applied = false;
@@ -114,7 +117,8 @@
   std::unique_ptr<ReplicaCore> m_core;
 };
 
-// Proposes until the disk has failed; returns the keys that were acknowledged.
+// Proposes kProposals reservations on a disk that fails on the way. Returns the
+// keys that were acknowledged.
 std::vector<int>
 RunUntilFault(MemoryFiles& aFiles)
 {
@@ -126,7 +130,7 @@
   for (int i = 0; i < kProposals; ++i) {
     const bool failed = life.m_listener.m_fatal != 0;
     if (life.Reserve(i)) {
-      // Nothing is promised any more once the store has failed.
+      // No proposal may be acknowledged after the store has failed.
       CHECK_FALSE(failed);
       acknowledged.push_back(i);
     }
@@ -140,8 +144,8 @@
 // clang-format off
 TEST_GROUP(ReplicaCoreFault)
 {
-  // Fails each operation in turn; all that was acknowledged must be there
-  // after the loss of power.
+  // Fails each disk operation in turn and checks that every acknowledged
+  // proposal is still in the state after a loss of power.
   void FailEachOperation(DiskFault aFault)
   {
     std::size_t whole = 0;
--- a/Tests/Control/ReplicaPartsTest.cxx
+++ b/Tests/Control/ReplicaPartsTest.cxx
@@ -1,4 +1,4 @@
-// Tests of the parts of the replica service that do no input or output.
+// Tests the components of the replica service that do no I/O.
 #include <optional>
 #include <string>
 #include <vector>
@@ -11,7 +11,7 @@
 #include "Control/PendingReads.h"
 #include "Control/SnapshotAssembler.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
@@ -63,7 +63,7 @@
   CHECK_EQUAL(3, ring.After(10)->size());
   CHECK_EQUAL(1, ring.After(12)->size());
   CHECK_FALSE(ring.After(9).has_value());
-  // A gateway that is ahead of this replica needs nothing.
+  // A gateway that is ahead of this replica gets no deltas.
   CHECK(ring.After(20)->empty());
   ring.Add(14, MakeFrame(100));
   CHECK_FALSE(ring.After(10).has_value());
@@ -116,7 +116,8 @@
 {
   SnapshotAssembler assembler;
   CHECK_FALSE(assembler.Add(MakePiece(5, 0, { 1, 2 }, false)).has_value());
-  // Lost, repeated and foreign pieces never make a whole.
+  // Chunks that are missing, repeated or from another snapshot never complete
+  // the snapshot.
   CHECK_FALSE(assembler.Add(MakePiece(5, 4, { 5 }, true)).has_value());
   CHECK_FALSE(assembler.Add(MakePiece(6, 2, { 3 }, true)).has_value());
   CHECK_FALSE(assembler.Add(MakePiece(5, 0, { 1, 2 }, false)).has_value());
@@ -132,7 +133,7 @@
   LeaderMaintenanceOptions m_options;
   ReplicatedState m_state;
 
-  // Reserves an action held by this process of the gateway.
+  // Reserves an action for the given process of a gateway.
   void Reserve(const std::string& aGateway, std::uint64_t aEpoch)
   {
     state::ReserveActionT reserve;
@@ -156,11 +157,12 @@
   Reserve("alive", 1);
   Reserve("dead", 7);
   LeaderMaintenance maintenance(m_options, At(0), m_state.Config());
-  // Until the lease is over they may have been reported to the last leader.
+  // Within the first lease of the term, the gateways may have been reported to
+  // the previous leader.
   CHECK(maintenance.FindExpired(At(99), 5, m_state).empty());
   consensus::ReadIndexT report;
   report.renewed.push_back(HashGateway("alive", 1));
-  // A new process of the VM doesn't keep the old one alive.
+  // A new process on the VM does not renew the lease of the old process.
   report.renewed.push_back(HashGateway("dead", 8));
   maintenance.RecordReport(At(90), 2, report);
   const auto commands = maintenance.FindExpired(At(100), 5, m_state);
@@ -172,7 +174,7 @@
   CHECK_EQUAL(2, maintenance.FindExpired(At(190), 5, m_state).size());
 }
 
-// Load pattern: four engines die under ninety gateways.
+// Load pattern: four engines fail, and each of ninety gateways reports them.
 TEST(FailureReportFilter, OneReportOfEachDeadEndpointPasses)
 {
   FailureReportFilter filter;
@@ -193,8 +195,8 @@
 }
 
 // Load pattern: the links of an availability zone lose three packets in a
-// hundred for five seconds, and each of thirty gateways misses an answer of
-// some engine now and then.
+// hundred for five seconds, and each of thirty gateways occasionally misses an
+// answer of some engine.
 TEST(FailureReportFilter, AMissingAnswerCountsOnceAnotherGatewayMissesItToo)
 {
   FailureReportFilter filter;
@@ -210,9 +212,9 @@
   };
   CHECK_FALSE(isNew("vm-1", 0));
   CHECK_FALSE(isNew("vm-1", 100));
-  CHECK_FALSE(isNew("vm-2", 400)); // the first one is forgotten
+  CHECK_FALSE(isNew("vm-2", 400)); // the first report is no longer counted
   CHECK(isNew("vm-3", 430));
-  CHECK_FALSE(isNew("vm-4", 440)); // under way
+  CHECK_FALSE(isNew("vm-4", 440)); // already proposed
 }
 
 TEST(FailureReportFilter, AnotherStartIsAnotherReport)
