--- a/Source/Control/ReplicaCore.cxx
+++ b/Source/Control/ReplicaCore.cxx
@@ -237,12 +237,12 @@
   if (!data) {
     return;
   }
-  consensus::InstallSnapshotT piece;
-  piece.meta = std::make_unique<consensus::SnapshotMetaT>(*meta);
-  piece.offset = aRequest.m_offset;
-  piece.last = aRequest.m_offset + data->size() >= meta->size;
-  piece.data = std::move(*data);
-  m_replica.SendSnapshotChunk(aRequest.m_to, std::move(piece));
+  consensus::InstallSnapshotT chunk;
+  chunk.meta = std::make_unique<consensus::SnapshotMetaT>(*meta);
+  chunk.offset = aRequest.m_offset;
+  chunk.last = aRequest.m_offset + data->size() >= meta->size;
+  chunk.data = std::move(*data);
+  m_replica.SendSnapshotChunk(aRequest.m_to, std::move(chunk));
 }
 
 bool
--- a/Source/Control/SnapshotAssembler.h
+++ b/Source/Control/SnapshotAssembler.h
@@ -21,7 +21,7 @@
 {
 public:
   // Returns the complete snapshot after its last chunk, std::nullopt before.
-  std::optional<ReceivedSnapshot> Add(consensus::InstallSnapshotT aPiece);
+  std::optional<ReceivedSnapshot> Add(consensus::InstallSnapshotT aChunk);
 
 private:
   std::uint64_t m_index = 0;
--- a/Tests/Control/ReplicaCoreFaultTest.cxx
+++ b/Tests/Control/ReplicaCoreFaultTest.cxx
@@ -122,20 +122,20 @@
 std::vector<int>
 RunUntilFault(MemoryFiles& aFiles)
 {
-  ReplicaRun life(aFiles);
+  ReplicaRun run(aFiles);
   std::vector<int> acknowledged;
-  if (!life.BecomeLeader()) {
+  if (!run.BecomeLeader()) {
     return acknowledged;
   }
   for (int i = 0; i < kProposals; ++i) {
-    const bool failed = life.m_listener.m_fatal != 0;
-    if (life.Reserve(i)) {
+    const bool failed = run.m_listener.m_fatal != 0;
+    if (run.Reserve(i)) {
       // No proposal may be acknowledged after the store has failed.
       CHECK_FALSE(failed);
       acknowledged.push_back(i);
     }
   }
-  CHECK(life.m_listener.m_fatal <= 1);
+  CHECK(run.m_listener.m_fatal <= 1);
   return acknowledged;
 }
 
--- a/Tests/Control/ReplicaPartsTest.cxx
+++ b/Tests/Control/ReplicaPartsTest.cxx
@@ -31,19 +31,19 @@
 }
 
 consensus::InstallSnapshotT
-MakePiece(std::uint64_t aIndex,
+MakeChunk(std::uint64_t aIndex,
           std::uint64_t aOffset,
           const std::vector<std::uint8_t>& aData,
           bool aLast)
 {
-  consensus::InstallSnapshotT piece;
-  piece.meta = std::make_unique<consensus::SnapshotMetaT>();
-  piece.meta->index = aIndex;
-  piece.meta->term = 1;
-  piece.offset = aOffset;
-  piece.data = aData;
-  piece.last = aLast;
-  return piece;
+  consensus::InstallSnapshotT chunk;
+  chunk.meta = std::make_unique<consensus::SnapshotMetaT>();
+  chunk.meta->index = aIndex;
+  chunk.meta->term = 1;
+  chunk.offset = aOffset;
+  chunk.data = aData;
+  chunk.last = aLast;
+  return chunk;
 }
 
 } // namespace
@@ -115,14 +115,14 @@
 TEST(SnapshotAssembler, TakesPiecesInOrderOfOneSnapshotOnly)
 {
   SnapshotAssembler assembler;
-  CHECK_FALSE(assembler.Add(MakePiece(5, 0, { 1, 2 }, false)).has_value());
+  CHECK_FALSE(assembler.Add(MakeChunk(5, 0, { 1, 2 }, false)).has_value());
   // Chunks that are missing, repeated or from another snapshot never complete
   // the snapshot.
-  CHECK_FALSE(assembler.Add(MakePiece(5, 4, { 5 }, true)).has_value());
-  CHECK_FALSE(assembler.Add(MakePiece(6, 2, { 3 }, true)).has_value());
-  CHECK_FALSE(assembler.Add(MakePiece(5, 0, { 1, 2 }, false)).has_value());
-  CHECK_FALSE(assembler.Add(MakePiece(5, 0, { 1, 2 }, false)).has_value());
-  const auto whole = assembler.Add(MakePiece(5, 2, { 3 }, true));
+  CHECK_FALSE(assembler.Add(MakeChunk(5, 4, { 5 }, true)).has_value());
+  CHECK_FALSE(assembler.Add(MakeChunk(6, 2, { 3 }, true)).has_value());
+  CHECK_FALSE(assembler.Add(MakeChunk(5, 0, { 1, 2 }, false)).has_value());
+  CHECK_FALSE(assembler.Add(MakeChunk(5, 0, { 1, 2 }, false)).has_value());
+  const auto whole = assembler.Add(MakeChunk(5, 2, { 3 }, true));
   CHECK(whole.has_value());
   CHECK((whole->m_state == std::vector<std::uint8_t>{ 1, 2, 3 }));
 }
@@ -205,16 +205,16 @@
   report.endpoint = std::make_unique<state::EndpointRefT>();
   report.endpoint->id = "e1";
   const TimePoint start(std::chrono::seconds(100));
-  const auto isNew = [&](const std::string& aGateway, int aAtMs) {
+  const auto isAccepted = [&](const std::string& aGateway, int aAtMs) {
     report.unsure_gateway = aGateway;
     return filter.AcceptReport(
       start + std::chrono::milliseconds(aAtMs), image, report);
   };
-  CHECK_FALSE(isNew("vm-1", 0));
-  CHECK_FALSE(isNew("vm-1", 100));
-  CHECK_FALSE(isNew("vm-2", 400)); // the first report is no longer counted
-  CHECK(isNew("vm-3", 430));
-  CHECK_FALSE(isNew("vm-4", 440)); // already proposed
+  CHECK_FALSE(isAccepted("vm-1", 0));
+  CHECK_FALSE(isAccepted("vm-1", 100));
+  CHECK_FALSE(isAccepted("vm-2", 400)); // the first report is no longer counted
+  CHECK(isAccepted("vm-3", 430));
+  CHECK_FALSE(isAccepted("vm-4", 440)); // already proposed
 }
 
 TEST(FailureReportFilter, AnotherStartIsAnotherReport)
