--- a/Source/Control/MembershipRepair.h
+++ b/Source/Control/MembershipRepair.h
@@ -29,8 +29,8 @@
 public:
   explicit MembershipRepair(const MembershipRepairOptions& aOptions);
 
-  // Starts a term as leader: members without a message count as unresponsive
-  // from aNow on, whatever an earlier term has recorded.
+  // Starts a term as leader and forgets all recorded messages. The time without
+  // a message is measured from aNow.
   void Start(TimePoint aNow);
   // Records a message received from this replica.
   void RecordMessage(TimePoint aNow, std::uint64_t aReplica);
--- a/Source/Control/ReplicaIdentity.cxx
+++ b/Source/Control/ReplicaIdentity.cxx
@@ -81,8 +81,8 @@
   if (!names) {
     return false;
   }
-  // The identity file is removed last: without it, remaining files could not be
-  // attributed to a replica.
+  // The identity file is removed last: without it, the remaining files could
+  // not be attributed to a replica.
   const std::string prefix = aFolder + "/";
   for (const std::string& name : *names) {
     if (name != kIdentityName && !aFiles.Remove(prefix + name, aReason)) {
--- a/Source/Control/ReplicaIdentity.h
+++ b/Source/Control/ReplicaIdentity.h
@@ -36,7 +36,7 @@
 // an identity. A founder's identity is derived from its address, so that all
 // founders start with the same members. Every other replica gets a random
 // identity. So does a founder whose disk was lost: under its old identity it
-// may have acknowledged votes and entries that the new disk does not hold.
+// may have cast votes and acknowledged entries that the new disk does not hold.
 // Returns std::nullopt and sets aReason if the folder cannot be read.
 std::optional<ReplicaIdentity>
 ChooseIdentity(Files& aFiles, const ReplicaStart& aStart, StoreReason& aReason);
