--- a/Source/Control/LeaderMaintenance.h
+++ b/Source/Control/LeaderMaintenance.h
@@ -34,8 +34,9 @@
                     const state::ConfigImageT& aConfig);
 
   void UpdateConfig(TimePoint aNow, const state::ConfigImageT& aConfig);
-  // Records the report of a replica: the gateways that it feeds, the index that
-  // they have applied, and the renewed leases. The leader also records its own.
+  // Records the report of a replica: the number of gateways that it feeds, the
+  // least index that they have applied, and the renewed leases. The leader also
+  // records its own report.
   void RecordReport(TimePoint aNow,
                     std::uint64_t aReplica,
                     const consensus::ReadIndexT& aReport);
--- a/Source/Control/ReplicaNode.h
+++ b/Source/Control/ReplicaNode.h
@@ -93,7 +93,8 @@
   // confirmed as current by a quorum.
   void ScheduleRound(Duration aAfter);
   void StartRound();
-  // Returns a report of the gateways' indices and count, without renewals.
+  // Returns a report without renewals: the number of gateways fed here and the
+  // least index that they have applied.
   consensus::ReadIndexT MakeFeedReport();
   // Returns a full report. Moves the pending renewals into the report: they
   // count as passed on.
