--- a/Source/Control/ReplicaCore.cxx
+++ b/Source/Control/ReplicaCore.cxx
@@ -197,7 +197,7 @@
 bool
 ReplicaCore::InstallChunk(TimePoint aNow, SnapshotChunk& aChunk)
 {
-  auto snapshot = m_assembler.Add(std::move(aChunk.m_piece));
+  auto snapshot = m_assembler.Add(std::move(aChunk.m_chunk));
   return !snapshot || InstallState(aNow, std::move(*snapshot));
 }
 
--- a/Source/Daemon/ControlProcess.cxx
+++ b/Source/Daemon/ControlProcess.cxx
@@ -10,7 +10,7 @@
 #include "Control/ReplicaService.h"
 #include "Daemon/ProcessFrame.h"
 #include "Daemon/ReplicaLog.h"
-#include "Placement/PlacementDirector.h"
+#include "Placement/PlacementController.h"
 #include "Store/DiskFiles.h"
 
 namespace parsleycove {
@@ -110,12 +110,12 @@
   GroupMembershipClient member(
     context, control, DescribeSelf(options), WriteReplicaLog);
   const auto orders = aDeployment.MakeOrders(context);
-  PlacementDirector director(context,
-                             control,
-                             aDeployment.ConfigCodec(),
-                             *orders,
-                             frame.Decisions(),
-                             [&] { return replica->LedTerm(); });
+  PlacementController placementController(context,
+                                          control,
+                                          aDeployment.ConfigCodec(),
+                                          *orders,
+                                          frame.Decisions(),
+                                          [&] { return replica->LedTerm(); });
   HttpService calls(
     context,
     aDeployment.MakeControlHandler(context, control, frame.Decisions()));
@@ -135,7 +135,7 @@
     return static_cast<double>(replica->LedTerm());
   });
   member.Start();
-  director.Start();
+  placementController.Start();
   frame.Run();
   replica->Stop();
   return hasFailed ? DaemonExit::StoreFailed : DaemonExit::Stopped;
