--- a/Source/Control/ReplicaNodeOptions.cxx
+++ b/Source/Control/ReplicaNodeOptions.cxx
@@ -1,4 +1,4 @@
-// Derives the settings of a replica's parts from those of the service.
+// Derives the options of a replica's components from ReplicaServiceOptions.
 #include "Control/ReplicaNodeOptions.h"
 
 #include <utility>
@@ -51,10 +51,10 @@
   return options;
 }
 
-LeaderDutiesOptions
-MakeLeaderDutiesOptions(const ReplicaServiceOptions& aOptions)
+LeaderMaintenanceOptions
+MakeLeaderMaintenanceOptions(const ReplicaServiceOptions& aOptions)
 {
-  LeaderDutiesOptions options;
+  LeaderMaintenanceOptions options;
   options.m_configLease = aOptions.m_configLease;
   options.m_endpointLease = aOptions.m_endpointLease;
   options.m_gatewayLease = aOptions.m_gatewayLease;
--- a/Source/Control/ReplicaNodeOptions.h
+++ b/Source/Control/ReplicaNodeOptions.h
@@ -1,10 +1,10 @@
-// Derives the settings of a replica's parts from those of the service.
+// Derives the options of a replica's components from ReplicaServiceOptions.
 #pragma once
 
 #include <vector>
 
 #include "Control/FeedServer.h"
-#include "Control/LeaderDuties.h"
+#include "Control/LeaderMaintenance.h"
 #include "Control/ReplicaCore.h"
 #include "Control/ReplicaServiceOptions.h"
 #include "Wire/PeerLinks.h"
@@ -23,13 +23,13 @@
 ReplicaCoreOptions
 MakeReplicaCoreOptions(const ReplicaServiceOptions& aOptions);
 
-LeaderDutiesOptions
-MakeLeaderDutiesOptions(const ReplicaServiceOptions& aOptions);
+LeaderMaintenanceOptions
+MakeLeaderMaintenanceOptions(const ReplicaServiceOptions& aOptions);
 
 consensus::MembershipT
 MakeBootstrapMembership(const ReplicaServiceOptions& aOptions);
 
-// All members but aSelf.
+// Returns the addresses of all members except aSelf.
 std::vector<PeerAddress>
 ListPeerAddresses(const consensus::MembershipT& aMembers, std::uint64_t aSelf);
 
--- a/Source/Daemon/ControlProcess.cxx
+++ b/Source/Daemon/ControlProcess.cxx
@@ -6,7 +6,7 @@
 #include <boost/asio/post.hpp>
 #include <boost/asio/steady_timer.hpp>
 
-#include "Control/GroupMember.h"
+#include "Control/GroupMembershipClient.h"
 #include "Control/ReplicaService.h"
 #include "Daemon/ProcessFrame.h"
 #include "Daemon/ReplicaLog.h"
@@ -107,7 +107,8 @@
     return DaemonExit::CannotStart;
   }
   ControlClient control(aSettings.m_client);
-  GroupMember member(context, control, DescribeSelf(options), WriteReplicaLog);
+  GroupMembershipClient member(
+    context, control, DescribeSelf(options), WriteReplicaLog);
   const auto orders = aDeployment.MakeOrders(context);
   PlacementController placementController(context,
                                           control,
