--- a/Source/Control/ClientNode.h
+++ b/Source/Control/ClientNode.h
@@ -10,9 +10,9 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "Control/ControlClient.h"
+#include "Control/LeasedConfigView.h"
 #include "Control/PendingCalls.h"
 #include "Control/ReplicaDirectory.h"
-#include "Control/ViewKeeper.h"
 #include "Wire/FrameLink.h"
 
 namespace parsleycove {
--- a/Source/Control/ViewKeeper.cxx
+++ b/Source/Control/LeasedConfigView.cxx
@@ -1,5 +1,5 @@
 // The gateway's copy of the configuration and the right to work from it.
-#include "Control/ViewKeeper.h"
+#include "Control/LeasedConfigView.h"
 
 #include <algorithm>
 
--- a/Tests/Control/ClientPartsTest.cxx
+++ b/Tests/Control/ClientPartsTest.cxx
@@ -3,9 +3,9 @@
 #include <string>
 #include <vector>
 
+#include "Control/LeasedConfigView.h"
 #include "Control/PendingCalls.h"
 #include "Control/ReplicaDirectory.h"
-#include "Control/ViewKeeper.h"
 
 // Last, since its leak macros redefine new.
 #include <CppUTest/TestHarness.h>
