--- a/Source/Control/ClientNode.cxx
+++ b/Source/Control/ClientNode.cxx
@@ -16,10 +16,10 @@
 namespace {
 
 // Pings follow one another this fast while a change is not yet in force.
-constexpr std::chrono::milliseconds kBusyPingMs{ 200 };
-constexpr std::chrono::milliseconds kRefusedPingMs{ 20 };
+constexpr std::chrono::milliseconds kChangePendingPingMs{ 200 };
+constexpr std::chrono::milliseconds kNoLeasePingMs{ 20 };
 // A feed that was just opened must show a fresh copy within this.
-constexpr std::chrono::milliseconds kFirstAnswerMs{ 350 };
+constexpr std::chrono::milliseconds kFirstConfirmationMs{ 350 };
 constexpr std::uint32_t kFeedVersion = 1;
 // Renewals kept while no feed is open; older ones are of no use.
 constexpr std::size_t kMaxRenewals = 4096;
@@ -62,7 +62,7 @@
   if (m_feed) {
     m_feed->Close();
   }
-  DropLeaderLink();
+  CloseLeaderLink();
   m_calls.FailAll();
 }
 
@@ -92,7 +92,7 @@
 ClientNode::ReplaceFeed(bool aFailed)
 {
   if (aFailed && m_feedAddress) {
-    m_directory.NoteFailure(BootClock::now(), *m_feedAddress);
+    m_directory.RecordFailure(BootClock::now(), *m_feedAddress);
   }
   if (m_feed) {
     m_feed->Close();
@@ -100,11 +100,11 @@
   }
   m_pings.clear();
   m_pingTimer.cancel();
-  ConnectFeedLater();
+  ScheduleConnect();
 }
 
 void
-ClientNode::ConnectFeedLater()
+ClientNode::ScheduleConnect()
 {
   m_connectTimer.expires_after(ToTimer(m_options.m_reconnectInterval));
   m_connectTimer.async_wait([this](const error_code& aError) {
@@ -119,22 +119,22 @@
 {
   const TimePoint now = BootClock::now();
   if (&aLink == m_leaderLink.get()) {
-    m_calls.Hasten(CallTarget::Leader, now);
+    m_calls.MakeDue(CallTarget::Leader, now);
     SendDueCalls();
     return;
   }
   m_lastGrantAt = now;
   // A new feed has less time: its replica answers at once.
-  m_confirmedAt = now - m_options.m_staleLimit + kFirstAnswerMs;
-  Greet();
+  m_confirmedAt = now - m_options.m_staleLimit + kFirstConfirmationMs;
+  SendHello();
   SendPing();
-  m_calls.Hasten(CallTarget::Feed, now);
-  m_calls.Hasten(CallTarget::Leader, now);
+  m_calls.MakeDue(CallTarget::Feed, now);
+  m_calls.MakeDue(CallTarget::Leader, now);
   SendDueCalls();
 }
 
 void
-ClientNode::Greet()
+ClientNode::SendHello()
 {
   feed::HelloT hello;
   hello.vm = m_options.m_vm;
@@ -142,7 +142,7 @@
   hello.epoch = m_options.m_epoch;
   hello.version = kFeedVersion;
   hello.takes_no_callers = !m_options.m_takesCallers;
-  hello.has_index = m_wantsImage ? 0 : m_view.AppliedIndex();
+  hello.has_index = m_needsImage ? 0 : m_view.AppliedIndex();
   m_feed->Send(EncodeFeedBody(std::move(hello)));
 }
 
@@ -170,9 +170,10 @@
   m_renewals.clear();
   m_pings.emplace(ping.id, BootClock::now());
   m_feed->Send(EncodeFeedBody(std::move(ping)));
-  const bool busy = m_view.InForceIndex() < m_view.ConfigIndex();
-  SchedulePing(busy ? std::min<Duration>(kBusyPingMs, m_options.m_pingInterval)
-                    : m_options.m_pingInterval);
+  const bool changePending = m_view.InForceIndex() < m_view.ConfigIndex();
+  SchedulePing(changePending ? std::min<Duration>(kChangePendingPingMs,
+                                                  m_options.m_pingInterval)
+                             : m_options.m_pingInterval);
 }
 
 void
@@ -194,7 +195,7 @@
     if (&aLink == m_feed.get()) {
       ReplaceFeed(/*aFailed=*/true);
     } else {
-      DropLeaderLink();
+      CloseLeaderLink();
     }
     return;
   }
@@ -228,10 +229,10 @@
 void
 ClientNode::OnWelcome(const feed::WelcomeT& aWelcome)
 {
-  m_directory.Learn(aWelcome);
-  m_calls.Hasten(CallTarget::Leader, BootClock::now());
+  m_directory.ApplyWelcome(aWelcome);
+  m_calls.MakeDue(CallTarget::Leader, BootClock::now());
   SendDueCalls();
-  if (m_directory.HasNearer(BootClock::now(), *m_feedAddress)) {
+  if (m_directory.HasCloserReplica(BootClock::now(), *m_feedAddress)) {
     ReplaceFeed(/*aFailed=*/false);
   }
 }
@@ -240,27 +241,27 @@
 ClientNode::OnImage(const feed::ImageT& aImage)
 {
   if (aImage.image) {
-    m_wantsImage = false;
-    m_view.TakeImage(*aImage.image);
-    PublishSoon();
+    m_needsImage = false;
+    m_view.ApplyImage(*aImage.image);
+    SchedulePublish();
   }
 }
 
 void
 ClientNode::OnDelta(const feed::DeltaT& aDelta)
 {
-  if (aDelta.command && !m_wantsImage) {
-    if (!m_view.TakeDelta(aDelta.index, *aDelta.command)) {
-      m_wantsImage = true;
+  if (aDelta.command && !m_needsImage) {
+    if (!m_view.ApplyDelta(aDelta.index, *aDelta.command)) {
+      m_needsImage = true;
       ReplaceFeed(/*aFailed=*/false);
       return;
     }
-    PublishSoon();
+    SchedulePublish();
   }
 }
 
 void
-ClientNode::PublishSoon()
+ClientNode::SchedulePublish()
 {
   if (std::exchange(m_publishRequested, true)) {
     return;
@@ -289,14 +290,14 @@
   m_confirmedAt = std::max(
     m_confirmedAt, sentAt - std::chrono::milliseconds(aPong.confirmed_ago_ms));
   m_view.Advance(aPong.index);
-  m_view.NoteInForce(aPong.in_force_index);
-  m_view.NoteGatewayCount(aPong.gateways);
-  if (aPong.lease_ms != 0 && !m_wantsImage) {
+  m_view.UpdateInForceIndex(aPong.in_force_index);
+  m_view.UpdateGatewayCount(aPong.gateways);
+  if (aPong.lease_ms != 0 && !m_needsImage) {
     m_lastGrantAt = BootClock::now();
     m_view.ExtendLease(sentAt + std::chrono::milliseconds(aPong.lease_ms));
   } else {
     // The replica waits for a newer acknowledgement, or for its quorum.
-    SchedulePing(kRefusedPingMs);
+    SchedulePing(kNoLeasePingMs);
   }
 }
 
@@ -304,9 +305,9 @@
 ClientNode::OnClosed(FrameLink& aLink, const WireReason& /*aReason*/)
 {
   if (&aLink == m_leaderLink.get()) {
-    DropLeaderLink();
+    CloseLeaderLink();
     m_directory.SetLeader(std::nullopt);
-    m_calls.Hasten(CallTarget::Leader, BootClock::now());
+    m_calls.MakeDue(CallTarget::Leader, BootClock::now());
     SendDueCalls();
     return;
   }
--- a/Source/Control/ClientNode.h
+++ b/Source/Control/ClientNode.h
@@ -49,7 +49,7 @@
   void AnnounceStopping();
 
   // Any thread.
-  const ViewKeeper& View() const { return m_view; }
+  const LeasedConfigView& View() const { return m_view; }
 
   void OnOpen(FrameLink& aLink) override;
   void OnFrame(FrameLink& aLink, const ReceivedFrame& aFrame) override;
@@ -59,8 +59,8 @@
   // Feed
   void ConnectFeed();
   void ReplaceFeed(bool aFailed);
-  void ConnectFeedLater();
-  void Greet();
+  void ScheduleConnect();
+  void SendHello();
   void SendPing();
   void SchedulePing(Duration aAfter);
   void OnFeedMessage(const feed::FeedBodyUnion& aBody);
@@ -68,7 +68,7 @@
   void OnImage(const feed::ImageT& aImage);
   void OnDelta(const feed::DeltaT& aDelta);
   void OnPong(const feed::PongT& aPong);
-  void PublishSoon();
+  void SchedulePublish();
 
   // Calls
   void AddCall(std::uint64_t aId,
@@ -83,14 +83,14 @@
   void OnAnswer(const feed::FeedBodyUnion& aBody);
   void OnProposeReply(const feed::FeedBodyUnion& aBody);
   void Retry(std::uint64_t aId, Duration aAfter);
-  void DropLeaderLink();
+  void CloseLeaderLink();
 
   FrameLinkOptions LinkOptions() const;
 
   boost::asio::io_context& m_context;
   const ControlClientOptions m_options;
   ReplicaDirectory m_directory;
-  ViewKeeper m_view;
+  LeasedConfigView m_view;
   PendingCalls m_calls;
   std::uint64_t m_lastId = 0;
 
@@ -111,7 +111,7 @@
   TimePoint m_confirmedAt{};
   std::vector<state::EndpointRefT> m_renewals;
   bool m_stopping = false;
-  bool m_wantsImage = false;
+  bool m_needsImage = false;
   bool m_publishRequested = false;
   bool m_closed = false;
 };
--- a/Source/Control/ClientNodeCalls.cxx
+++ b/Source/Control/ClientNodeCalls.cxx
@@ -11,7 +11,7 @@
 namespace {
 
 // While no link is open or no leader is known.
-constexpr std::chrono::milliseconds kRetryPauseMs{ 20 };
+constexpr std::chrono::milliseconds kRetryDelayMs{ 20 };
 
 } // namespace
 
@@ -32,7 +32,7 @@
   call.m_handler = std::move(aHandler);
   m_calls.Add(std::move(call));
   if (m_closed || aDeadline <= now) {
-    m_calls.TakeDue(m_closed ? aDeadline : now);
+    m_calls.CollectDue(m_closed ? aDeadline : now);
     return;
   }
   PendingCall& added = *m_calls.Find(aId);
@@ -44,7 +44,7 @@
 ClientNode::SendDueCalls()
 {
   const TimePoint now = BootClock::now();
-  for (const std::uint64_t id : m_calls.TakeDue(now)) {
+  for (const std::uint64_t id : m_calls.CollectDue(now)) {
     if (PendingCall* call = m_calls.Find(id)) {
       SendCall(*call, now);
     }
@@ -59,10 +59,10 @@
 {
   FrameLink* link = LinkFor(aCall.m_target);
   if (link == nullptr || !link->IsOpen()) {
-    aCall.m_nextSendAt = aNow + kRetryPauseMs;
+    aCall.m_nextSendAt = aNow + kRetryDelayMs;
     return;
   }
-  ++aCall.m_unresolved;
+  ++aCall.m_uncertainSends;
   aCall.m_nextSendAt = aNow + m_options.m_resendInterval;
   link->Send(aCall.m_frame);
 }
@@ -77,14 +77,14 @@
   if (m_leaderLink && m_leaderLinkAddress == leader) {
     return m_leaderLink.get();
   }
-  DropLeaderLink();
+  CloseLeaderLink();
   m_leaderLinkAddress = leader;
   m_leaderLink = FrameLink::Connect(m_context, *leader, LinkOptions(), *this);
   return m_leaderLink.get();
 }
 
 void
-ClientNode::DropLeaderLink()
+ClientNode::CloseLeaderLink()
 {
   if (m_leaderLink) {
     m_leaderLink->Close();
@@ -122,8 +122,8 @@
       if (const auto& reply = *aBody.AsReadActionReply(); reply.ok) {
         m_calls.Complete(reply.id, aBody);
       } else {
-        m_calls.NoteRefused(reply.id);
-        Retry(reply.id, kRetryPauseMs);
+        m_calls.RecordRejection(reply.id);
+        Retry(reply.id, kRetryDelayMs);
       }
       break;
     case feed::FeedBody::ConfirmReadReply:
@@ -132,8 +132,8 @@
         m_view.Publish();
         m_calls.Complete(reply.id, aBody);
       } else {
-        m_calls.NoteRefused(reply.id);
-        Retry(reply.id, kRetryPauseMs);
+        m_calls.RecordRejection(reply.id);
+        Retry(reply.id, kRetryDelayMs);
       }
       break;
     case feed::FeedBody::StatusReply:
@@ -143,8 +143,8 @@
       if (const auto& reply = *aBody.AsAdminReply(); !reply.not_leader) {
         m_calls.Complete(reply.id, aBody);
       } else {
-        m_calls.NoteRefused(reply.id);
-        Retry(reply.id, kRetryPauseMs);
+        m_calls.RecordRejection(reply.id);
+        Retry(reply.id, kRetryDelayMs);
       }
       break;
     default:
@@ -161,7 +161,7 @@
     return;
   }
   if (reply.status == feed::ProposeStatus::NotLeader) {
-    m_calls.NoteRefused(reply.id);
+    m_calls.RecordRejection(reply.id);
     if (reply.leader_address.empty()) {
       m_directory.SetLeader(std::nullopt);
     } else {
@@ -169,7 +169,7 @@
         SocketAddress{ reply.leader_address, reply.leader_port });
     }
   }
-  Retry(reply.id, kRetryPauseMs);
+  Retry(reply.id, kRetryDelayMs);
 }
 
 void
--- a/Source/Control/FeedBackend.h
+++ b/Source/Control/FeedBackend.h
@@ -40,7 +40,7 @@
   virtual feed::WelcomeT DescribeGroup() const = 0;
   // Leader, term and members; the server adds its gateways.
   virtual feed::StatusReplyT DescribeStatus() const = 0;
-  virtual void NoteRenewals(
+  virtual void RecordRenewals(
     const std::vector<std::unique_ptr<state::EndpointRefT>>& aRenewed) = 0;
   // A gateway acknowledged more than before.
   virtual void OnAcknowledged() = 0;
--- a/Source/Control/FeedServer.cxx
+++ b/Source/Control/FeedServer.cxx
@@ -12,7 +12,7 @@
 namespace {
 
 // Tells a gateway no more than that its replica has lost the quorum.
-constexpr Duration kLongAgo = std::chrono::hours(1);
+constexpr Duration kMaxConfirmedAgo = std::chrono::hours(1);
 
 std::uint32_t
 ToMs(Duration aDuration)
@@ -41,10 +41,10 @@
   const feed::FeedBodyUnion& body = aMessage.body;
   switch (body.type) {
     case feed::FeedBody::Hello:
-      Greet(aNow, session, *body.AsHello());
+      HandleHello(aNow, session, *body.AsHello());
       break;
     case feed::FeedBody::Ping:
-      Answer(aNow, session, *body.AsPing());
+      HandlePing(aNow, session, *body.AsPing());
       break;
     case feed::FeedBody::Propose:
       Propose(session, *body.AsPropose());
@@ -56,7 +56,7 @@
       ConfirmRead(session, *body.AsConfirmRead());
       break;
     case feed::FeedBody::StatusRequest:
-      Describe(aNow, session, *body.AsStatusRequest());
+      SendStatus(aNow, session, *body.AsStatusRequest());
       break;
     case feed::FeedBody::AddReplica:
       AddReplica(session, *body.AsAddReplica());
@@ -76,18 +76,20 @@
 }
 
 void
-FeedServer::Greet(TimePoint aNow, Session& aSession, const feed::HelloT& aHello)
+FeedServer::HandleHello(TimePoint aNow,
+                        Session& aSession,
+                        const feed::HelloT& aHello)
 {
   aSession.m_vm = aHello.vm;
   aSession.m_epoch = aHello.epoch;
-  aSession.m_greeted = true;
+  aSession.m_hasHello = true;
   m_gateways.Greet(aNow, aHello);
   aSession.m_link->Send(EncodeFeedBody(m_backend.DescribeGroup()));
-  SendCopy(aSession, aHello.has_index);
+  SendConfigSince(aSession, aHello.has_index);
 }
 
 void
-FeedServer::SendCopy(Session& aSession, std::uint64_t aHasIndex)
+FeedServer::SendConfigSince(Session& aSession, std::uint64_t aHasIndex)
 {
   const auto deltas = aHasIndex == 0 ? std::nullopt : m_ring.After(aHasIndex);
   if (!deltas) {
@@ -118,7 +120,7 @@
   m_image.reset();
   m_ring.Reset(m_backend.AppliedIndex());
   for (auto& [link, session] : m_sessions) {
-    if (session.m_greeted) {
+    if (session.m_hasHello) {
       session.m_link->Send(ImageFrame());
     }
   }
@@ -134,7 +136,7 @@
   const Frame::Pointer frame = EncodeFeedBody(std::move(delta));
   m_ring.Add(aIndex, frame);
   for (auto& [link, session] : m_sessions) {
-    if (session.m_greeted) {
+    if (session.m_hasHello) {
       session.m_link->Send(frame);
     }
   }
@@ -145,7 +147,7 @@
 {
   const Frame::Pointer frame = EncodeFeedBody(m_backend.DescribeGroup());
   for (auto& [link, session] : m_sessions) {
-    if (session.m_greeted) {
+    if (session.m_hasHello) {
       session.m_link->Send(frame);
     }
   }
@@ -158,18 +160,20 @@
 }
 
 std::uint64_t
-FeedServer::TakeReport(TimePoint aNow)
+FeedServer::ReportMinAppliedIndex(TimePoint aNow)
 {
   return m_gateways.TakeReport(aNow, m_backend.AppliedIndex());
 }
 
 void
-FeedServer::Answer(TimePoint aNow, Session& aSession, const feed::PingT& aPing)
+FeedServer::HandlePing(TimePoint aNow,
+                       Session& aSession,
+                       const feed::PingT& aPing)
 {
-  if (!aSession.m_greeted) {
+  if (!aSession.m_hasHello) {
     return;
   }
-  m_backend.NoteRenewals(aPing.renewed);
+  m_backend.RecordRenewals(aPing.renewed);
   const std::uint64_t before = MinAppliedIndex(aNow);
   const auto lease =
     m_gateways.Grant(aNow, aSession.m_vm, aSession.m_epoch, aPing);
@@ -184,7 +188,7 @@
   pong.gateways = m_backend.GatewayCount();
   pong.lease_ms = lease ? ToMs(*lease) : 0;
   pong.confirmed_ago_ms =
-    ToMs(std::min(m_gateways.ConfirmedAgo(aNow), kLongAgo));
+    ToMs(std::min(m_gateways.ConfirmedAgo(aNow), kMaxConfirmedAgo));
   aSession.m_link->Send(EncodeFeedBody(pong));
 }
 
@@ -253,9 +257,9 @@
 }
 
 void
-FeedServer::Describe(TimePoint aNow,
-                     const Session& aSession,
-                     const feed::StatusRequestT& aRequest)
+FeedServer::SendStatus(TimePoint aNow,
+                       const Session& aSession,
+                       const feed::StatusRequestT& aRequest)
 {
   feed::StatusReplyT reply = m_backend.DescribeStatus();
   reply.id = aRequest.id;
@@ -314,10 +318,10 @@
 }
 
 void
-FeedServer::ForgetGone(TimePoint aNow)
+FeedServer::RemoveExpiredGateways(TimePoint aNow)
 {
-  for (const state::GatewayGoneT& gone : m_gateways.FindGone(aNow, 0)) {
-    m_gateways.Forget(gone.gateway, gone.gateway_epoch);
+  for (const state::GatewayGoneT& expired : m_gateways.FindGone(aNow, 0)) {
+    m_gateways.Forget(expired.gateway, expired.gateway_epoch);
   }
 }
 
--- a/Source/Control/FeedServer.h
+++ b/Source/Control/FeedServer.h
@@ -45,12 +45,12 @@
   // The state applied here is current as of this read; leases rest on it.
   void ConfirmRead(TimePoint aNow, const ReadState& aRead);
   // The least index that the gateways have, for a report that is sent now.
-  std::uint64_t TakeReport(TimePoint aNow);
+  std::uint64_t ReportMinAppliedIndex(TimePoint aNow);
 
   std::uint64_t MinAppliedIndex(TimePoint aNow) const;
   std::uint32_t CountLive(TimePoint aNow) const;
   std::vector<GatewayLeaseTable::Gateway> ListGateways() const;
-  void ForgetGone(TimePoint aNow);
+  void RemoveExpiredGateways(TimePoint aNow);
 
 private:
   struct Session
@@ -58,18 +58,20 @@
     FrameLink::Pointer m_link;
     std::string m_vm;
     std::uint64_t m_epoch = 0;
-    bool m_greeted = false;
+    bool m_hasHello = false;
   };
 
-  void Greet(TimePoint aNow, Session& aSession, const feed::HelloT& aHello);
-  void SendCopy(Session& aSession, std::uint64_t aHasIndex);
-  void Answer(TimePoint aNow, Session& aSession, const feed::PingT& aPing);
+  void HandleHello(TimePoint aNow,
+                   Session& aSession,
+                   const feed::HelloT& aHello);
+  void SendConfigSince(Session& aSession, std::uint64_t aHasIndex);
+  void HandlePing(TimePoint aNow, Session& aSession, const feed::PingT& aPing);
   void Propose(const Session& aSession, const feed::ProposeT& aRequest);
   void ReadAction(const Session& aSession, const feed::ReadActionT& aRequest);
   void ConfirmRead(const Session& aSession, const feed::ConfirmReadT& aRequest);
-  void Describe(TimePoint aNow,
-                const Session& aSession,
-                const feed::StatusRequestT& aRequest);
+  void SendStatus(TimePoint aNow,
+                  const Session& aSession,
+                  const feed::StatusRequestT& aRequest);
   void AddReplica(const Session& aSession, const feed::AddReplicaT& aRequest);
   void RemoveReplica(const Session& aSession,
                      const feed::RemoveReplicaT& aRequest);
--- a/Source/Control/LeasedConfigView.cxx
+++ b/Source/Control/LeasedConfigView.cxx
@@ -5,17 +5,17 @@
 
 namespace parsleycove {
 
-ViewKeeper::ViewKeeper()
+LeasedConfigView::LeasedConfigView()
   : m_view(Publication<const ClusterView>::Pointer(
       new ClusterView(state::ConfigImageT{})))
 {
 }
 
 void
-ViewKeeper::TakeImage(const state::ConfigImageT& aImage)
+LeasedConfigView::ApplyImage(const state::ConfigImageT& aImage)
 {
   // An image of a replica that lags would take this gateway back.
-  if (m_hasImage && aImage.index < m_applied) {
+  if (m_hasImage && aImage.index < m_appliedIndex) {
     return;
   }
   m_config = ConfigState(state::ConfigImageT(aImage));
@@ -26,9 +26,10 @@
 }
 
 bool
-ViewKeeper::TakeDelta(std::uint64_t aIndex, const state::CommandT& aCommand)
+LeasedConfigView::ApplyDelta(std::uint64_t aIndex,
+                             const state::CommandT& aCommand)
 {
-  if (!m_hasImage || aIndex <= m_applied) {
+  if (!m_hasImage || aIndex <= m_appliedIndex) {
     return true;
   }
   const auto result = m_config.Apply(aIndex, aCommand);
@@ -37,21 +38,21 @@
   }
   m_changed = true;
   m_configIndex = aIndex;
-  m_applied = aIndex;
+  m_appliedIndex = aIndex;
   return true;
 }
 
 void
-ViewKeeper::Advance(std::uint64_t aIndex)
+LeasedConfigView::Advance(std::uint64_t aIndex)
 {
-  m_applied = std::max(m_applied, aIndex);
+  m_appliedIndex = std::max(m_appliedIndex, aIndex);
   if (m_hasImage) {
-    m_config.AdvanceIndex(m_applied);
+    m_config.AdvanceIndex(m_appliedIndex);
   }
 }
 
 void
-ViewKeeper::Publish()
+LeasedConfigView::Publish()
 {
   if (!m_changed) {
     return;
@@ -62,7 +63,7 @@
 }
 
 void
-ViewKeeper::ExtendLease(TimePoint aLeaseEnd)
+LeasedConfigView::ExtendLease(TimePoint aLeaseEnd)
 {
   if (!m_hasImage) {
     return;
@@ -73,19 +74,19 @@
 }
 
 void
-ViewKeeper::NoteInForce(std::uint64_t aIndex)
+LeasedConfigView::UpdateInForceIndex(std::uint64_t aIndex)
 {
-  m_inForce.store(std::max(m_inForce.load(), aIndex));
+  m_inForceIndex.store(std::max(m_inForceIndex.load(), aIndex));
 }
 
 boost::intrusive_ptr<const ClusterView>
-ViewKeeper::Read() const
+LeasedConfigView::Read() const
 {
   return m_view.Read();
 }
 
 bool
-ViewKeeper::HasLease(TimePoint aNow) const
+LeasedConfigView::HasLease(TimePoint aNow) const
 {
   return aNow.time_since_epoch().count() < m_leaseEnd.load();
 }
--- a/Source/Control/PendingCalls.cxx
+++ b/Source/Control/PendingCalls.cxx
@@ -33,16 +33,16 @@
 }
 
 void
-PendingCalls::NoteRefused(std::uint64_t aId)
+PendingCalls::RecordRejection(std::uint64_t aId)
 {
   if (PendingCall* call = Find(aId);
-      call != nullptr && call->m_unresolved > 0) {
-    --call->m_unresolved;
+      call != nullptr && call->m_uncertainSends > 0) {
+    --call->m_uncertainSends;
   }
 }
 
 void
-PendingCalls::Hasten(CallTarget aTarget, TimePoint aNow)
+PendingCalls::MakeDue(CallTarget aTarget, TimePoint aNow)
 {
   for (auto& [id, call] : m_calls) {
     if (call.m_target == aTarget) {
@@ -52,7 +52,7 @@
 }
 
 std::vector<std::uint64_t>
-PendingCalls::TakeDue(TimePoint aNow)
+PendingCalls::CollectDue(TimePoint aNow)
 {
   std::vector<std::uint64_t> due;
   std::vector<PendingCall> expired;
@@ -98,7 +98,7 @@
 PendingCalls::Fail(const PendingCall& aCall)
 {
   ControlReason reason;
-  if (aCall.m_unresolved == 0) {
+  if (aCall.m_uncertainSends == 0) {
     reason.Set(ControlError::NotAccepted,
                "no leader of the control group was reached in time");
   } else {
--- a/Source/Control/PendingCalls.h
+++ b/Source/Control/PendingCalls.h
@@ -33,7 +33,7 @@
   TimePoint m_deadline{};
   TimePoint m_nextSendAt{};
   // Sendings that no answer has shown to be without effect.
-  std::uint32_t m_unresolved = 0;
+  std::uint32_t m_uncertainSends = 0;
   Handler m_handler;
 };
 
@@ -47,13 +47,13 @@
   // Ends the call with this answer. Unknown ids are late or duplicate answers.
   void Complete(std::uint64_t aId, const feed::FeedBodyUnion& aAnswer);
   // The replica did not take the call.
-  void NoteRefused(std::uint64_t aId);
+  void RecordRejection(std::uint64_t aId);
   // Makes every call of this target due now.
-  void Hasten(CallTarget aTarget, TimePoint aNow);
+  void MakeDue(CallTarget aTarget, TimePoint aNow);
 
   // Ends what is past its deadline and returns the ids that are due.
-  std::vector<std::uint64_t> TakeDue(TimePoint aNow);
-  // When TakeDue is next worth calling.
+  std::vector<std::uint64_t> CollectDue(TimePoint aNow);
+  // When CollectDue is next worth calling.
   std::optional<TimePoint> NextDue() const;
   void FailAll();
 
--- a/Source/Control/ReplicaDirectory.cxx
+++ b/Source/Control/ReplicaDirectory.cxx
@@ -9,7 +9,7 @@
 namespace {
 
 // A replica that failed is avoided for this long where there are others.
-constexpr std::chrono::seconds kFailureMemoryS{ 10 };
+constexpr std::chrono::seconds kAvoidFailedReplicaS{ 10 };
 
 } // namespace
 
@@ -33,7 +33,7 @@
 }
 
 void
-ReplicaDirectory::Learn(const feed::WelcomeT& aWelcome)
+ReplicaDirectory::ApplyWelcome(const feed::WelcomeT& aWelcome)
 {
   if (!aWelcome.leader_address.empty()) {
     m_leader = { aWelcome.leader_address, aWelcome.leader_port };
@@ -42,7 +42,7 @@
     return;
   }
   for (Candidate& candidate : m_candidates) {
-    candidate.m_listed = false;
+    candidate.m_isMember = false;
   }
   for (const auto& peer : aWelcome.peers) {
     const SocketAddress address{ peer->address, peer->port };
@@ -51,7 +51,7 @@
     }
     Candidate& candidate = *Find(address);
     candidate.m_zone = peer->zone;
-    candidate.m_listed = true;
+    candidate.m_isMember = true;
   }
 }
 
@@ -62,7 +62,7 @@
 }
 
 void
-ReplicaDirectory::NoteFailure(TimePoint aNow, const SocketAddress& aAddress)
+ReplicaDirectory::RecordFailure(TimePoint aNow, const SocketAddress& aAddress)
 {
   if (Candidate* candidate = Find(aAddress)) {
     candidate->m_failedAt = aNow;
@@ -91,7 +91,8 @@
 }
 
 bool
-ReplicaDirectory::HasNearer(TimePoint aNow, const SocketAddress& aCurrent) const
+ReplicaDirectory::HasCloserReplica(TimePoint aNow,
+                                   const SocketAddress& aCurrent) const
 {
   const Candidate* current = Find(aCurrent);
   if (current == nullptr || current->m_zone == m_zone) {
@@ -106,10 +107,10 @@
 int
 ReplicaDirectory::Rank(TimePoint aNow, const Candidate& aCandidate) const
 {
-  const bool failed =
-    aCandidate.m_failedAt && aNow - *aCandidate.m_failedAt < kFailureMemoryS;
+  const bool failed = aCandidate.m_failedAt &&
+                      aNow - *aCandidate.m_failedAt < kAvoidFailedReplicaS;
   const int distance = aCandidate.m_zone == m_zone ? 0 : 1;
-  return (failed ? 4 : 0) + (aCandidate.m_listed ? 0 : 2) + distance;
+  return (failed ? 4 : 0) + (aCandidate.m_isMember ? 0 : 2) + distance;
 }
 
 ReplicaDirectory::Candidate*
--- a/Source/Control/ReplicaDirectory.h
+++ b/Source/Control/ReplicaDirectory.h
@@ -23,23 +23,23 @@
   // More replicas to try; the others stay.
   void AddSeeds(const std::vector<SocketAddress>& aSeeds);
   // Takes over the group's own list; seeds outside of it stay as a last resort.
-  void Learn(const feed::WelcomeT& aWelcome);
+  void ApplyWelcome(const feed::WelcomeT& aWelcome);
   void SetLeader(std::optional<SocketAddress> aLeader);
   const std::optional<SocketAddress>& Leader() const { return m_leader; }
-  void NoteFailure(TimePoint aNow, const SocketAddress& aAddress);
+  void RecordFailure(TimePoint aNow, const SocketAddress& aAddress);
 
   // Prefers replicas that have not failed lately, then the own zone, then the
   // group's own list; random among equals, so that gateways spread.
   std::optional<SocketAddress> Pick(TimePoint aNow);
   // True when aCurrent is in another zone and a sound replica is in this one.
-  bool HasNearer(TimePoint aNow, const SocketAddress& aCurrent) const;
+  bool HasCloserReplica(TimePoint aNow, const SocketAddress& aCurrent) const;
 
 private:
   struct Candidate
   {
     SocketAddress m_address;
     std::string m_zone;
-    bool m_listed = false; // by the group itself
+    bool m_isMember = false; // by the group itself
     std::optional<TimePoint> m_failedAt;
   };
 
--- a/Source/Control/ReplicaNode.cxx
+++ b/Source/Control/ReplicaNode.cxx
@@ -303,7 +303,7 @@
 ReplicaNode::StartRound()
 {
   const TimePoint now = BootClock::now();
-  m_feeds.ForgetGone(now);
+  m_feeds.RemoveExpiredGateways(now);
   consensus::ReadIndexT report = MakeReport();
   if (m_duties) {
     m_duties->NoteReport(now, m_options.m_replica, report);
@@ -328,7 +328,7 @@
 {
   const TimePoint now = BootClock::now();
   consensus::ReadIndexT report;
-  report.report_min_index = m_feeds.TakeReport(now);
+  report.report_min_index = m_feeds.ReportMinAppliedIndex(now);
   report.report_feeds = m_feeds.CountLive(now);
   return report;
 }
@@ -357,7 +357,7 @@
 }
 
 void
-ReplicaNode::NoteRenewals(
+ReplicaNode::RecordRenewals(
   const std::vector<std::unique_ptr<state::EndpointRefT>>& aRenewed)
 {
   for (const auto& reference : aRenewed) {
--- a/Source/Control/ReplicaNode.h
+++ b/Source/Control/ReplicaNode.h
@@ -75,7 +75,7 @@
   std::optional<SocketAddress> LeaderAddress() const override;
   feed::WelcomeT DescribeGroup() const override;
   feed::StatusReplyT DescribeStatus() const override;
-  void NoteRenewals(
+  void RecordRenewals(
     const std::vector<std::unique_ptr<state::EndpointRefT>>& aRenewed) override;
   void OnAcknowledged() override;
 
--- a/Tests/Control/ClientPartsTest.cxx
+++ b/Tests/Control/ClientPartsTest.cxx
@@ -86,9 +86,9 @@
 {
   Add(1, At(10));
   Add(2, At(10));
-  m_calls.Find(2)->m_unresolved = 1;
-  m_calls.NoteRefused(2);
-  m_calls.TakeDue(At(10));
+  m_calls.Find(2)->m_uncertainSends = 1;
+  m_calls.RecordRejection(2);
+  m_calls.CollectDue(At(10));
   CHECK_EQUAL(2, m_errors.size());
   CHECK(m_errors[0] == ControlError::NotAccepted);
   CHECK(m_errors[1] == ControlError::NotAccepted);
@@ -97,9 +97,9 @@
 TEST(PendingCalls, OneSendingWithoutAnAnswerMakesItUnknown)
 {
   Add(1, At(10));
-  m_calls.Find(1)->m_unresolved = 2;
-  m_calls.NoteRefused(1);
-  m_calls.TakeDue(At(10));
+  m_calls.Find(1)->m_uncertainSends = 2;
+  m_calls.RecordRejection(1);
+  m_calls.CollectDue(At(10));
   CHECK_EQUAL(1, m_errors.size());
   CHECK(m_errors[0] == ControlError::Unknown);
 }
@@ -111,9 +111,9 @@
   m_calls.Complete(1, answer);
   m_calls.Complete(1, answer);
   Add(2, At(10));
-  m_calls.TakeDue(At(11));
+  m_calls.CollectDue(At(11));
   m_calls.Complete(2, answer);
-  m_calls.NoteRefused(2);
+  m_calls.RecordRejection(2);
   CHECK_EQUAL(1, m_answers);
   CHECK_EQUAL(1, m_errors.size());
 }
@@ -124,24 +124,24 @@
 {
   ReplicaDirectory directory({ { "10.0.0.9", 7000 } }, "zone-b", 1);
   CHECK(directory.Pick(At(0))->m_address == "10.0.0.9");
-  directory.Learn(MakeWelcome(3));
+  directory.ApplyWelcome(MakeWelcome(3));
   CHECK(directory.Pick(At(0))->m_address == "10.0.0.2");
-  CHECK(directory.HasNearer(At(0), { "10.0.0.1", 7000 }));
-  directory.NoteFailure(At(0), { "10.0.0.2", 7000 });
-  CHECK_FALSE(directory.HasNearer(At(1), { "10.0.0.1", 7000 }));
+  CHECK(directory.HasCloserReplica(At(0), { "10.0.0.1", 7000 }));
+  directory.RecordFailure(At(0), { "10.0.0.2", 7000 });
+  CHECK_FALSE(directory.HasCloserReplica(At(1), { "10.0.0.1", 7000 }));
   const auto next = directory.Pick(At(1))->m_address;
   CHECK(next == "10.0.0.1" || next == "10.0.0.3");
-  directory.NoteFailure(At(2), { "10.0.0.1", 7000 });
-  directory.NoteFailure(At(3), { "10.0.0.3", 7000 });
-  directory.NoteFailure(At(4), { "10.0.0.9", 7000 });
+  directory.RecordFailure(At(2), { "10.0.0.1", 7000 });
+  directory.RecordFailure(At(3), { "10.0.0.3", 7000 });
+  directory.RecordFailure(At(4), { "10.0.0.9", 7000 });
   // All have failed: the own zone again, never nothing.
   CHECK(directory.Pick(At(5))->m_address == "10.0.0.2");
 }
 
 // clang-format off
-TEST_GROUP(ViewKeeper)
+TEST_GROUP(LeasedConfigView)
 {
-  ViewKeeper m_keeper;
+  LeasedConfigView m_view;
 
   state::ConfigImageT ImageAt(std::uint64_t aIndex)
   {
@@ -153,34 +153,34 @@
 };
 // clang-format on
 
-TEST(ViewKeeper, NeverGoesBackToAnOlderImageOrDelta)
+TEST(LeasedConfigView, NeverGoesBackToAnOlderImageOrDelta)
 {
-  m_keeper.TakeImage(ImageAt(10));
-  CHECK(m_keeper.TakeDelta(12, MakeClass("a", 10)));
-  m_keeper.Publish();
-  CHECK_EQUAL(12, m_keeper.Read()->Index());
+  m_view.ApplyImage(ImageAt(10));
+  CHECK(m_view.ApplyDelta(12, MakeClass("a", 10)));
+  m_view.Publish();
+  CHECK_EQUAL(12, m_view.Read()->Index());
   // A replica that lags sends what it has.
-  m_keeper.TakeImage(ImageAt(11));
-  CHECK(m_keeper.TakeDelta(11, MakeClass("b", 10)));
-  m_keeper.Publish();
-  CHECK_EQUAL(12, m_keeper.Read()->Index());
-  CHECK(m_keeper.Read()->FindClass("a") != nullptr);
-  CHECK(m_keeper.Read()->FindClass("b") == nullptr);
+  m_view.ApplyImage(ImageAt(11));
+  CHECK(m_view.ApplyDelta(11, MakeClass("b", 10)));
+  m_view.Publish();
+  CHECK_EQUAL(12, m_view.Read()->Index());
+  CHECK(m_view.Read()->FindClass("a") != nullptr);
+  CHECK(m_view.Read()->FindClass("b") == nullptr);
 }
 
-TEST(ViewKeeper, HasNoLeaseBeforeTheFirstImage)
+TEST(LeasedConfigView, HasNoLeaseBeforeTheFirstImage)
 {
-  m_keeper.ExtendLease(At(100));
-  CHECK_FALSE(m_keeper.HasLease(At(0)));
-  m_keeper.TakeImage(ImageAt(1));
-  m_keeper.ExtendLease(At(100));
-  CHECK(m_keeper.HasLease(At(99)));
-  CHECK_FALSE(m_keeper.HasLease(At(100)));
-  CHECK_EQUAL(1, m_keeper.Read()->Index());
+  m_view.ExtendLease(At(100));
+  CHECK_FALSE(m_view.HasLease(At(0)));
+  m_view.ApplyImage(ImageAt(1));
+  m_view.ExtendLease(At(100));
+  CHECK(m_view.HasLease(At(99)));
+  CHECK_FALSE(m_view.HasLease(At(100)));
+  CHECK_EQUAL(1, m_view.Read()->Index());
 }
 
-TEST(ViewKeeper, ADeltaThatDoesNotFitIsReported)
+TEST(LeasedConfigView, ADeltaThatDoesNotFitIsReported)
 {
-  m_keeper.TakeImage(ImageAt(10));
-  CHECK_FALSE(m_keeper.TakeDelta(12, MakeClass("a", 9)));
+  m_view.ApplyImage(ImageAt(10));
+  CHECK_FALSE(m_view.ApplyDelta(12, MakeClass("a", 9)));
 }
--- a/Tests/Control/Cluster.cxx
+++ b/Tests/Control/Cluster.cxx
@@ -28,8 +28,8 @@
   std::abort();
 }
 
-constexpr std::chrono::seconds kDeadlineS{ 30 };
-constexpr std::chrono::milliseconds kLookMs{ 5 };
+constexpr std::chrono::seconds kTestTimeoutS{ 30 };
+constexpr std::chrono::milliseconds kPollIntervalMs{ 5 };
 constexpr std::uint64_t kCluster = 77;
 
 ReplicaServiceOptions
@@ -218,7 +218,7 @@
     if (BootClock::now() > deadline) {
       return false;
     }
-    never.wait_for(lock, kLookMs);
+    never.wait_for(lock, kPollIntervalMs);
   }
   return true;
 }
@@ -226,7 +226,7 @@
 TimePoint
 TestDeadline()
 {
-  return BootClock::now() + kDeadlineS;
+  return BootClock::now() + kTestTimeoutS;
 }
 
 state::CommandT
@@ -316,14 +316,14 @@
 {
   const auto answer = WaitForAnswer<feed::AdminReplyT>(
     [&](auto aHandler) { aCall(std::move(aHandler)); });
-  const bool isMade = answer.m_value && answer.m_value->ok;
+  const bool isApplied = answer.m_value && answer.m_value->ok;
   if (aFault != nullptr) {
     *aFault = answer.m_value ? answer.m_value->text : answer.m_reason.m_text;
-    if (isMade) {
+    if (isApplied) {
       aFault->clear();
     }
   }
-  return isMade;
+  return isApplied;
 }
 
 } // namespace parsleycove
--- a/Tests/Control/EndToEndTest.cxx
+++ b/Tests/Control/EndToEndTest.cxx
@@ -21,7 +21,7 @@
 // The client sends a command again when its link breaks or the leader changes;
 // the change that was made is then told as a duplicate.
 bool
-IsMade(const Answer<state::CommandResultT>& aAnswer)
+IsApplied(const Answer<state::CommandResultT>& aAnswer)
 {
   return IsOk(aAnswer) || (aAnswer.m_value && aAnswer.m_value->code ==
                                                 state::ResultCode::Duplicate);
@@ -186,7 +186,7 @@
     const std::string number = std::to_string(i);
     const auto made =
       Propose(*m_client, MakeChange("c" + number, i, "w" + number));
-    CHECK_TEXT(IsMade(made), Describe(made).c_str());
+    CHECK_TEXT(IsApplied(made), Describe(made).c_str());
     CHECK_EQUAL(static_cast<std::uint64_t>(i) + 1, made.m_value->revision);
   }
   for (std::size_t i = 0; i < 3; ++i) {
@@ -255,22 +255,22 @@
 TEST(EndToEnd, ALearnerCatchesUpBecomesAVoterAndReplacesALostMember)
 {
   const std::size_t leader = m_cluster.WaitForLeader();
-  const std::size_t lost = (leader + 1) % 3;
+  const std::size_t failed = (leader + 1) % 3;
   m_client = Connect("gateway", leader);
   for (int i = 0; i < 20; ++i) {
     const std::string number = std::to_string(i);
     const auto made =
       Propose(*m_client, MakeChange("c" + number, i, "w" + number));
-    CHECK_TEXT(IsMade(made), Describe(made).c_str());
+    CHECK_TEXT(IsApplied(made), Describe(made).c_str());
     CHECK_EQUAL(static_cast<std::uint64_t>(i) + 1, made.m_value->revision);
   }
-  m_cluster.Stop(lost);
-  const std::size_t spare = m_cluster.AddSpare(4, ZoneOf(lost));
+  m_cluster.Stop(failed);
+  const std::size_t spare = m_cluster.AddSpare(4, ZoneOf(failed));
   m_cluster.Start(spare);
   feed::AddReplicaT add;
   add.replica = 4;
   add.vm = "vm-4";
-  add.zone = ZoneOf(lost);
+  add.zone = ZoneOf(failed);
   add.address = m_cluster.Address(spare).m_address;
   add.port = m_cluster.Address(spare).m_port;
   CHECK(ChangeGroup([&](auto aHandler) {
@@ -291,7 +291,7 @@
   CHECK(WaitUntil([&] {
     const bool isRemoved = ChangeGroup(
       [&](auto aHandler) {
-        m_client->RemoveReplica(lost + 1, TestDeadline(), aHandler);
+        m_client->RemoveReplica(failed + 1, TestDeadline(), aHandler);
       },
       &fault);
     return isRemoved || fault != "membership: another change is under way";
--- a/Tests/Control/FreezableRelay.cxx
+++ b/Tests/Control/FreezableRelay.cxx
@@ -71,22 +71,22 @@
 
 } // namespace
 
-struct FreezableRelay::Parts
+struct FreezableRelay::Impl
 {
-  explicit Parts(SocketAddress aTarget)
+  explicit Impl(SocketAddress aTarget)
     : m_target(std::move(aTarget))
     , m_acceptor(m_context, { asio::ip::make_address("127.0.0.1"), 0 })
   {
     Accept();
     m_thread = std::thread([this] { m_context.run(); });
   }
-  ~Parts()
+  ~Impl()
   {
     m_context.stop();
     m_thread.join();
   }
-  Parts(const Parts&) = delete;
-  Parts& operator=(const Parts&) = delete;
+  Impl(const Impl&) = delete;
+  Impl& operator=(const Impl&) = delete;
 
   void Accept()
   {
@@ -144,7 +144,7 @@
 };
 
 FreezableRelay::FreezableRelay(SocketAddress aTarget)
-  : m_parts(std::make_unique<Parts>(std::move(aTarget)))
+  : m_impl(std::make_unique<Impl>(std::move(aTarget)))
 {
 }
 
@@ -153,19 +153,19 @@
 SocketAddress
 FreezableRelay::Address() const
 {
-  return { "127.0.0.1", m_parts->m_acceptor.local_endpoint().port() };
+  return { "127.0.0.1", m_impl->m_acceptor.local_endpoint().port() };
 }
 
 void
 FreezableRelay::Freeze()
 {
-  m_parts->SetFrozen(true);
+  m_impl->SetFrozen(true);
 }
 
 void
 FreezableRelay::Thaw()
 {
-  m_parts->SetFrozen(false);
+  m_impl->SetFrozen(false);
 }
 
 } // namespace parsleycove
--- a/Tests/Control/FreezableRelay.h
+++ b/Tests/Control/FreezableRelay.h
@@ -24,9 +24,9 @@
   void Thaw();
 
 private:
-  struct Parts;
+  struct Impl;
 
-  std::unique_ptr<Parts> m_parts;
+  std::unique_ptr<Impl> m_impl;
 };
 
 } // namespace parsleycove
--- a/Tests/Control/SilenceTest.cxx
+++ b/Tests/Control/SilenceTest.cxx
@@ -177,9 +177,10 @@
   CHECK(m_client->HasLease(BootClock::now()));
 
   // Its index lies behind the ring: whoever comes back gets a whole image.
-  const auto back = Connect("slow", 0);
+  const auto reconnected = Connect("slow", 0);
   CHECK(WaitUntil([&] {
-    return back->HasLease(BootClock::now()) &&
-           back->View()->Revision() == static_cast<std::uint64_t>(changes);
+    return reconnected->HasLease(BootClock::now()) &&
+           reconnected->View()->Revision() ==
+             static_cast<std::uint64_t>(changes);
   }));
 }
