--- a/Source/Control/ClientNode.cxx
+++ b/Source/Control/ClientNode.cxx
@@ -1,4 +1,5 @@
-// The feed of a gateway: which replica it follows, its copy and its lease.
+// The feed of a gateway: selects the replica, and maintains the copy of the
+// configuration and the configuration lease.
 #include "Control/ClientNode.h"
 
 #include <algorithm>
@@ -15,13 +16,15 @@
 
 namespace {
 
-// Pings follow one another this fast while a change is not yet in force.
+// Ping interval while a received change is not yet in force.
 constexpr std::chrono::milliseconds kChangePendingPingMs{ 200 };
+// Time to the next Ping after a Pong without a lease.
 constexpr std::chrono::milliseconds kNoLeasePingMs{ 20 };
-// A feed that was just opened must show a fresh copy within this.
+// A new feed must send state confirmed by a quorum within this time.
 constexpr std::chrono::milliseconds kFirstConfirmationMs{ 350 };
 constexpr std::uint32_t kFeedVersion = 1;
-// Renewals kept while no feed is open; older ones are of no use.
+// Maximum number of endpoint renewals kept while no feed is open. Further ones
+// are dropped.
 constexpr std::size_t kMaxRenewals = 4096;
 
 asio::steady_timer::duration
@@ -124,7 +127,8 @@
     return;
   }
   m_lastGrantAt = now;
-  // A new feed has less time: its replica answers at once.
+  // A new feed has kFirstConfirmationMs instead of the stale limit: a working
+  // replica answers immediately.
   m_confirmedAt = now - m_options.m_staleLimit + kFirstConfirmationMs;
   SendHello();
   SendPing();
@@ -152,7 +156,7 @@
   if (!m_feed || !m_feed->IsOpen()) {
     return;
   }
-  // The replica answers, but no quorum answers it.
+  // The replica answers this gateway, but has no quorum.
   const TimePoint now = BootClock::now();
   if (now - m_lastGrantAt > m_options.m_silenceLimit ||
       now - m_confirmedAt > m_options.m_staleLimit) {
@@ -270,7 +274,8 @@
     m_publishRequested = false;
     if (!m_closed) {
       m_view.Publish();
-      // Acknowledges at once, so that others learn what is in force.
+      // Acknowledges without delay, since a change is in force only once the
+      // gateways have acknowledged it.
       SendPing();
     }
   });
@@ -284,7 +289,7 @@
     return;
   }
   const TimePoint sentAt = sent->second;
-  // Answers come in order; earlier ones are not to be expected any more.
+  // Pongs arrive in order, so no Pong for an earlier Ping can follow.
   std::erase_if(m_pings,
                 [&](const auto& aPing) { return aPing.first <= aPong.id; });
   m_confirmedAt = std::max(
@@ -296,7 +301,8 @@
     m_lastGrantAt = BootClock::now();
     m_view.ExtendLease(sentAt + std::chrono::milliseconds(aPong.lease_ms));
   } else {
-    // The replica waits for a newer acknowledgement, or for its quorum.
+    // The replica grants no lease before this gateway acknowledges a newer
+    // index or a quorum confirms the replica's state.
     SchedulePing(kNoLeasePingMs);
   }
 }
--- a/Source/Control/ClientNode.h
+++ b/Source/Control/ClientNode.h
@@ -1,4 +1,5 @@
-// A gateway's feed and its calls to the control group, on one Asio thread.
+// A gateway's feed and its calls to the control group, handled by one Asio
+// thread.
 #pragma once
 
 #include <cstdint>
@@ -17,9 +18,9 @@
 
 namespace parsleycove {
 
-// Holds one feed link, and beside it a link to the leader where that is
-// another replica. A feed that is silent, ends, or grants no lease for too long
-// is replaced by one to another replica.
+// Keeps one feed link, and in addition a link to the leader if the feed comes
+// from another replica. Reconnects the feed to another replica if the current
+// one is unresponsive, closes the link, or grants no lease for too long.
 class ClientNode final : public FrameLinkListener
 {
 public:
@@ -32,7 +33,8 @@
   void Start();
   void Close();
 
-  // Sends a request until it is answered. The body's id is set here.
+  // Sends a request, and sends it again until it is answered or its deadline
+  // has passed. Sets the id of the body.
   template<typename Body>
   void Call(Body aBody,
             CallTarget aTarget,
@@ -48,7 +50,7 @@
   void RenewEndpoint(state::EndpointRefT aReference);
   void AnnounceStopping();
 
-  // Any thread.
+  // May be called by any thread.
   const LeasedConfigView& View() const { return m_view; }
 
   void OnOpen(FrameLink& aLink) override;
@@ -103,11 +105,11 @@
   boost::asio::steady_timer m_callTimer;
   std::optional<TimePoint> m_callTimerAt;
 
-  // When each unanswered Ping of the present feed was sent.
+  // Send time of each unanswered Ping of the current feed, by its id.
   std::unordered_map<std::uint64_t, TimePoint> m_pings;
-  // When the present feed was opened or last granted a lease.
+  // When the current feed was opened or last granted a lease.
   TimePoint m_lastGrantAt{};
-  // As of when a quorum has confirmed what the present feed sends.
+  // Latest time at which a quorum confirmed the state of the current feed.
   TimePoint m_confirmedAt{};
   std::vector<state::EndpointRefT> m_renewals;
   bool m_stopping = false;
--- a/Source/Control/ClientNodeCalls.cxx
+++ b/Source/Control/ClientNodeCalls.cxx
@@ -1,4 +1,5 @@
-// The calls of a gateway: sending, resending and pairing with answers.
+// The calls of a gateway to the control group: sends them, retries them and
+// matches the answers.
 #include "Control/ClientNode.h"
 
 #include <algorithm>
@@ -10,7 +11,8 @@
 
 namespace {
 
-// While no link is open or no leader is known.
+// Delay before a call is retried if no link is open, or after a replica has
+// rejected the call or could not complete it.
 constexpr std::chrono::milliseconds kRetryDelayMs{ 20 };
 
 } // namespace
@@ -128,7 +130,8 @@
       break;
     case feed::FeedBody::ConfirmReadReply:
       if (const auto& reply = *aBody.AsConfirmReadReply(); reply.ok) {
-        // Deltas before the answer came on the same link.
+        // All deltas up to the confirmed index came before this answer on the
+        // same link.
         m_view.Publish();
         m_calls.Complete(reply.id, aBody);
       } else {
--- a/Source/Control/ControlClient.cxx
+++ b/Source/Control/ControlClient.cxx
@@ -1,4 +1,4 @@
-// A gateway's access to the replicated state over a feed from one replica.
+// A gateway's access to the replicated state through a feed from one replica.
 #include "Control/ControlClient.h"
 
 #include <thread>
@@ -13,7 +13,7 @@
 
 namespace asio = boost::asio;
 
-// Runs the node's io_context.
+// The thread that runs the io_context of the ClientNode.
 class ControlClient::Thread
 {
 public:
--- a/Source/Control/ControlClient.h
+++ b/Source/Control/ControlClient.h
@@ -1,4 +1,4 @@
-// A gateway's access to the replicated state over a feed from one replica.
+// A gateway's access to the replicated state through a feed from one replica.
 #pragma once
 
 #include <cstddef>
@@ -17,32 +17,35 @@
 {
   std::string m_vm;
   std::string m_zone;
-  // Start number of this VM's process; higher on each start.
+  // Start number of this VM's process, increased on each start.
   std::uint64_t m_epoch = 0;
-  // Replicas to begin with; the group's own list is learned from them.
+  // Replicas to connect to first; they send the list of the group's members.
   std::vector<SocketAddress> m_seeds;
 
-  // A feed that is silent for this long is replaced by one to another replica.
+  // If nothing arrives on a feed for this long, the client reconnects to
+  // another replica.
   Duration m_silenceLimit = std::chrono::seconds(2);
   Duration m_linkHeartbeat = std::chrono::milliseconds(500);
   Duration m_pingInterval = std::chrono::seconds(1);
-  // A replica whose copy no quorum has confirmed for this long is left for
-  // another one.
+  // If no quorum has confirmed a replica's state for this long, the client
+  // reconnects to another replica.
   Duration m_staleLimit = std::chrono::seconds(4);
-  // A proposal without an answer is sent again after this long.
+  // A call without an answer is sent again after this long.
   Duration m_resendInterval = std::chrono::milliseconds(1500);
   Duration m_reconnectInterval = std::chrono::milliseconds(100);
   std::size_t m_maxFrameBytes = 64UL * 1024 * 1024;
   std::size_t m_maxQueueBytes = 16UL * 1024 * 1024;
   std::uint64_t m_seed = 1;
-  // False on a VM that only serves control.
+  // False on a VM that runs a control replica, but no gateway.
   bool m_takesCallers = true;
-  // Counts the bytes of this client's links, unless null; outlives it.
+  // Counts the bytes of this client's links unless null; must outlive the
+  // client.
   LinkTraffic* m_traffic = nullptr;
 };
 
-// Keeps a feed to a replica, preferably of the own zone, and sends proposals
-// to the leader until they are answered or their deadline has passed.
+// Keeps a feed from a replica, preferably in this VM's availability zone, and
+// sends proposals to the leader until they are answered or their deadline has
+// passed.
 class ControlClient final : public ControlPort
 {
 public:
@@ -71,7 +74,7 @@
   bool HasLease(TimePoint aNow) const override;
   std::uint64_t InForceIndex() const override;
   std::uint32_t GatewayCount() const override;
-  // Replicas to try beside those that the group lists.
+  // Adds replicas to try in addition to the members that the group lists.
   void AddSeeds(std::vector<SocketAddress> aSeeds);
   void RenewEndpoint(const std::string& aId,
                      std::uint64_t aIncarnation) override;
--- a/Source/Control/DeltaRing.cxx
+++ b/Source/Control/DeltaRing.cxx
@@ -1,4 +1,5 @@
-// The latest changes of the configuration, encoded, for feeds that come back.
+// The latest configuration changes as encoded frames, for gateways that
+// reconnect.
 #include "Control/DeltaRing.h"
 
 #include <utility>
--- a/Source/Control/DeltaRing.h
+++ b/Source/Control/DeltaRing.h
@@ -1,4 +1,5 @@
-// The latest changes of the configuration, encoded, for feeds that come back.
+// The latest configuration changes as encoded frames, for gateways that
+// reconnect.
 #pragma once
 
 #include <cstddef>
@@ -11,19 +12,20 @@
 
 namespace parsleycove {
 
-// A bounded run of deltas without gaps.
+// Stores consecutive deltas up to a total size in bytes and drops the oldest.
 //
-// Invariant: holds every delta with an index above Floor().
+// Invariant: contains every delta with an index above Floor().
 class DeltaRing
 {
 public:
   explicit DeltaRing(std::size_t aMaxBytes);
 
-  // Starts anew behind an image of this index.
+  // Drops all deltas; the next ones follow an image at aIndex.
   void Reset(std::uint64_t aIndex);
   void Add(std::uint64_t aIndex, Frame::Pointer aFrame);
   std::uint64_t Floor() const { return m_floor; }
-  // Deltas after aIndex; nothing when some of them are gone.
+  // Returns the deltas after aIndex, or std::nullopt if any of them has been
+  // dropped.
   std::optional<std::vector<Frame::Pointer>> After(std::uint64_t aIndex) const;
 
 private:
--- a/Source/Control/FeedBackend.h
+++ b/Source/Control/FeedBackend.h
@@ -1,4 +1,4 @@
-// What the feed server needs of the replica that it belongs to.
+// The interface through which a feed server uses its replica.
 #pragma once
 
 #include <cstdint>
@@ -21,10 +21,12 @@
 
   virtual ~FeedBackend() = default;
 
-  // False when this replica does not lead: the command was not taken.
+  // Returns false, without proposing the command, if this replica is not the
+  // leader.
   virtual bool ProposeCommand(const state::CommandT& aCommand,
                               ProposalTable::Handler aHandler) = 0;
-  // Calls back once the state is current as of now, or cannot be confirmed.
+  // Calls aHandler with true once the applied state is known to be current as
+  // of this call, or with false if that cannot be confirmed.
   virtual void ConfirmState(ReadHandler aHandler) = 0;
   virtual void AddMember(const feed::AddReplicaT& aRequest,
                          AdminHandler aHandler) = 0;
@@ -33,16 +35,16 @@
   virtual const ReplicatedState& State() const = 0;
   virtual std::uint64_t AppliedIndex() const = 0;
   virtual std::uint64_t InForceIndex() const = 0;
-  // Of the whole fleet; 0 while not known.
+  // Number of gateways of the whole fleet, or 0 if unknown.
   virtual std::uint32_t GatewayCount() const = 0;
-  // Empty while no leader is known.
+  // Returns std::nullopt if no leader is known.
   virtual std::optional<SocketAddress> LeaderAddress() const = 0;
   virtual feed::WelcomeT DescribeGroup() const = 0;
-  // Leader, term and members; the server adds its gateways.
+  // Returns leader, term and members; the feed server adds its gateways.
   virtual feed::StatusReplyT DescribeStatus() const = 0;
   virtual void RecordRenewals(
     const std::vector<std::unique_ptr<state::EndpointRefT>>& aRenewed) = 0;
-  // A gateway acknowledged more than before.
+  // Called if the lowest index acknowledged by the gateways has changed.
   virtual void OnAcknowledged() = 0;
 };
 
--- a/Source/Control/FeedServer.cxx
+++ b/Source/Control/FeedServer.cxx
@@ -1,4 +1,5 @@
-// Serves gateways: images, deltas, leases, proposals and reads.
+// Serves gateways on behalf of a replica: sends images, deltas and leases, and
+// handles proposals and reads.
 #include "Control/FeedServer.h"
 
 #include <algorithm>
@@ -11,7 +12,8 @@
 
 namespace {
 
-// Tells a gateway no more than that its replica has lost the quorum.
+// Limit of Pong.confirmed_ago_ms. A value this high tells a gateway only that
+// its replica has no quorum.
 constexpr Duration kMaxConfirmedAgo = std::chrono::hours(1);
 
 std::uint32_t
@@ -182,7 +184,7 @@
   }
   feed::PongT pong;
   pong.id = aPing.id;
-  // Every delta up to here has gone out on this link before this answer.
+  // Every delta up to this index has been sent on this link before this Pong.
   pong.index = m_backend.AppliedIndex();
   pong.in_force_index = m_backend.InForceIndex();
   pong.gateways = m_backend.GatewayCount();
--- a/Source/Control/FeedServer.h
+++ b/Source/Control/FeedServer.h
@@ -1,4 +1,5 @@
-// Serves gateways: images, deltas, leases, proposals and reads.
+// Serves gateways on behalf of a replica: sends images, deltas and leases, and
+// handles proposals and reads.
 #pragma once
 
 #include <cstddef>
@@ -25,9 +26,10 @@
   std::size_t m_maxRingBytes = 4UL * 1024 * 1024;
 };
 
-// Sends every change to every greeted link in the order of the log. A link
-// that reads too slowly is closed by its own limit; the gateway comes back
-// with the index it has, and gets what it lacks or a whole image.
+// Sends every change, in log order, on each link that has sent a Hello. A link
+// whose gateway reads too slowly is closed by its queue limit. The gateway then
+// reconnects with its applied index and receives the deltas after that index,
+// or a full image if some of these deltas have been dropped.
 class FeedServer
 {
 public:
@@ -38,13 +40,16 @@
                  const feed::FeedMessageT& aMessage);
   void OnClosed(const FrameLink& aLink);
 
-  // The state was restored or replaced: feeds begin anew with an image.
+  // Called after the state was restored or replaced; sends an image on each
+  // feed.
   void OnStateReplaced();
   void OnConfigChanged(std::uint64_t aIndex, const state::CommandT& aCommand);
   void OnGroupChanged();
-  // The state applied here is current as of this read; leases rest on it.
+  // Records that the applied state was current when this read was requested,
+  // which is the condition for granting leases.
   void ConfirmRead(TimePoint aNow, const ReadState& aRead);
-  // The least index that the gateways have, for a report that is sent now.
+  // Returns the lowest index that the gateways have applied, for a report to
+  // the leader that is sent now.
   std::uint64_t ReportMinAppliedIndex(TimePoint aNow);
 
   std::uint64_t MinAppliedIndex(TimePoint aNow) const;
@@ -81,7 +86,7 @@
   GatewayLeaseTable m_gateways;
   DeltaRing m_ring;
   std::map<const FrameLink*, Session> m_sessions;
-  // The last encoded image and the index that it was taken at.
+  // The last encoded image and the index of its configuration.
   Frame::Pointer m_image;
   std::uint64_t m_imageIndex = 0;
 };
--- a/Source/Control/LeasedConfigView.cxx
+++ b/Source/Control/LeasedConfigView.cxx
@@ -1,4 +1,5 @@
-// The gateway's copy of the configuration and the right to work from it.
+// A gateway's copy of the cluster configuration and its configuration lease,
+// the right to serve requests from that copy.
 #include "Control/LeasedConfigView.h"
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 void
 LeasedConfigView::ApplyImage(const state::ConfigImageT& aImage)
 {
-  // An image of a replica that lags would take this gateway back.
+  // An older image, from a replica that lags behind, would roll this copy back.
   if (m_hasImage && aImage.index < m_appliedIndex) {
     return;
   }
--- a/Source/Control/LeasedConfigView.h
+++ b/Source/Control/LeasedConfigView.h
@@ -1,4 +1,5 @@
-// The gateway's copy of the configuration and the right to work from it.
+// A gateway's copy of the cluster configuration and its configuration lease,
+// the right to serve requests from that copy.
 #pragma once
 
 #include <atomic>
@@ -11,32 +12,35 @@
 
 namespace parsleycove {
 
-// Changed by one thread, read by any.
+// One thread makes all changes; any thread may read.
 //
-// Invariant: the published view only moves to higher indexes.
+// Invariant: the index of the published view never decreases.
 class LeasedConfigView
 {
 public:
   LeasedConfigView();
 
   void ApplyImage(const state::ConfigImageT& aImage);
-  // False when the change does not fit this copy; a new image is needed then.
+  // Ignores a change that precedes the first image or is already applied.
+  // Returns false if the change cannot be applied to this copy, which then has
+  // to be replaced by a new image.
   bool ApplyDelta(std::uint64_t aIndex, const state::CommandT& aCommand);
-  // Everything up to aIndex has been received.
+  // Records that every change up to aIndex has been received.
   void Advance(std::uint64_t aIndex);
-  // Makes what was taken visible; one new view for any number of changes.
+  // Publishes all changes applied since the last call as one new view.
   void Publish();
-  // A quorum confirmed what has been received; publishes it first.
+  // Called once a quorum has confirmed the received state, which is published
+  // before the lease is extended. Does nothing before the first image.
   void ExtendLease(TimePoint aLeaseEnd);
   void UpdateInForceIndex(std::uint64_t aIndex);
   void UpdateGatewayCount(std::uint32_t aCount) { m_gatewayCount = aCount; }
 
   bool HasImage() const { return m_hasImage; }
-  // What to acknowledge: everything up to here is published.
+  // Index to acknowledge to the replica.
   std::uint64_t AppliedIndex() const { return m_appliedIndex; }
   std::uint64_t ConfigIndex() const { return m_configIndex; }
 
-  // Any thread.
+  // The methods below may be called by any thread.
   boost::intrusive_ptr<const ClusterView> Read() const;
   bool HasLease(TimePoint aNow) const;
   std::uint64_t InForceIndex() const { return m_inForceIndex.load(); }
@@ -45,11 +49,13 @@
 private:
   ConfigState m_config;
   bool m_hasImage = false;
-  bool m_changed = false; // since the last Publish
+  bool m_changed = false; // since the last Publish()
   std::uint64_t m_appliedIndex = 0;
-  std::uint64_t m_configIndex = 0; // of the last change
+  std::uint64_t m_configIndex = 0; // index of the last change
   Publication<const ClusterView> m_view;
-  std::atomic<Duration::rep> m_leaseEnd{ 0 }; // ns of BootClock; 0: none
+  std::atomic<Duration::rep> m_leaseEnd{
+    0
+  }; // ns of BootClock; 0 if there is no lease
   std::atomic<std::uint64_t> m_inForceIndex{ 0 };
   std::atomic<std::uint32_t> m_gatewayCount{ 0 };
 };
--- a/Source/Control/PendingCalls.cxx
+++ b/Source/Control/PendingCalls.cxx
@@ -1,4 +1,4 @@
-// Requests of a gateway to the group that wait for their answer.
+// Requests of a gateway to the control group that have not been answered yet.
 #include "Control/PendingCalls.h"
 
 #include <algorithm>
@@ -70,7 +70,7 @@
   for (const PendingCall& call : expired) {
     Fail(call);
   }
-  // In the order in which they were made.
+  // Ids ascend in the order in which the calls were made.
   std::sort(due.begin(), due.end());
   return due;
 }
--- a/Source/Control/PendingCalls.h
+++ b/Source/Control/PendingCalls.h
@@ -1,4 +1,4 @@
-// Requests of a gateway to the group that wait for their answer.
+// Requests of a gateway to the control group that have not been answered yet.
 #pragma once
 
 #include <cstdint>
@@ -17,13 +17,13 @@
 enum class CallTarget
 {
   Feed,   // any replica
-  Leader, // the leader; another replica tells who that is
+  Leader, // the leader; other replicas answer with its address
 };
 
-// One request, with the number that pairs it with its answer.
+// One request, with the id that matches it to its answer.
 struct PendingCall
 {
-  // The answer's body, or null with an error.
+  // Receives the body of the answer, or nullptr and an error.
   using Handler =
     std::function<void(const feed::FeedBodyUnion*, const ControlReason&)>;
 
@@ -32,28 +32,32 @@
   Frame::Pointer m_frame;
   TimePoint m_deadline{};
   TimePoint m_nextSendAt{};
-  // Sendings that no answer has shown to be without effect.
+  // Number of sends that may have taken effect: no replica has rejected them.
   std::uint32_t m_uncertainSends = 0;
   Handler m_handler;
 };
 
-// Keeps each call until it is answered or its deadline has passed, and calls
-// every handler exactly once.
+// Keeps each call until it is answered or its deadline has passed. Invokes each
+// handler exactly once.
 class PendingCalls
 {
 public:
   void Add(PendingCall aCall);
   PendingCall* Find(std::uint64_t aId);
-  // Ends the call with this answer. Unknown ids are late or duplicate answers.
+  // Completes the call with this answer. Ignores an unknown id, which belongs
+  // to a late or duplicate answer.
   void Complete(std::uint64_t aId, const feed::FeedBodyUnion& aAnswer);
-  // The replica did not take the call.
+  // Records that the replica rejected one send of the call, so that this send
+  // had no effect.
   void RecordRejection(std::uint64_t aId);
-  // Makes every call of this target due now.
+  // Makes every call to this target due at aNow.
   void MakeDue(CallTarget aTarget, TimePoint aNow);
 
-  // Ends what is past its deadline and returns the ids that are due.
+  // Fails the calls whose deadline has passed and returns the ids of the calls
+  // to send, in ascending order.
   std::vector<std::uint64_t> CollectDue(TimePoint aNow);
-  // When CollectDue is next worth calling.
+  // Returns the time of the next send or deadline, or std::nullopt if there are
+  // no calls.
   std::optional<TimePoint> NextDue() const;
   void FailAll();
 
--- a/Source/Control/ReplicaDirectory.cxx
+++ b/Source/Control/ReplicaDirectory.cxx
@@ -1,4 +1,5 @@
-// Which replicas a gateway knows, and which one to turn to next.
+// The control replicas that a gateway knows. Selects the replica to connect to
+// after a failure.
 #include "Control/ReplicaDirectory.h"
 
 #include <algorithm>
@@ -8,7 +9,7 @@
 
 namespace {
 
-// A replica that failed is avoided for this long where there are others.
+// A failed replica is avoided for this long if another one is known.
 constexpr std::chrono::seconds kAvoidFailedReplicaS{ 10 };
 
 } // namespace
@@ -82,7 +83,8 @@
                      [&](const Candidate& aLeft, const Candidate& aRight) {
                        const int left = Rank(aNow, aLeft);
                        const int right = Rank(aNow, aRight);
-                       // Among failed ones the one that failed first.
+                       // Of equally ranked failed replicas, the one whose
+                       // failure is the oldest.
                        return left != right
                                 ? left < right
                                 : aLeft.m_failedAt < aRight.m_failedAt;
--- a/Source/Control/ReplicaDirectory.h
+++ b/Source/Control/ReplicaDirectory.h
@@ -1,4 +1,5 @@
-// Which replicas a gateway knows, and which one to turn to next.
+// The control replicas that a gateway knows. Selects the replica to connect to
+// after a failure.
 #pragma once
 
 #include <cstdint>
@@ -20,18 +21,21 @@
                    std::string aZone,
                    std::uint64_t aSeed);
 
-  // More replicas to try; the others stay.
+  // Adds replicas to try; those known already stay.
   void AddSeeds(const std::vector<SocketAddress>& aSeeds);
-  // Takes over the group's own list; seeds outside of it stay as a last resort.
+  // Adopts the group's list of members. Seeds that are not members stay as a
+  // fallback.
   void ApplyWelcome(const feed::WelcomeT& aWelcome);
   void SetLeader(std::optional<SocketAddress> aLeader);
   const std::optional<SocketAddress>& Leader() const { return m_leader; }
   void RecordFailure(TimePoint aNow, const SocketAddress& aAddress);
 
-  // Prefers replicas that have not failed lately, then the own zone, then the
-  // group's own list; random among equals, so that gateways spread.
+  // Prefers replicas without a recent failure, then members of the group, then
+  // this VM's zone. Chooses at random among equal replicas, so that gateways
+  // spread over them. Returns std::nullopt if no replica is known.
   std::optional<SocketAddress> Pick(TimePoint aNow);
-  // True when aCurrent is in another zone and a sound replica is in this one.
+  // Returns true if aCurrent is in another zone and a member of the group in
+  // this VM's zone has not failed recently.
   bool HasCloserReplica(TimePoint aNow, const SocketAddress& aCurrent) const;
 
 private:
@@ -39,7 +43,7 @@
   {
     SocketAddress m_address;
     std::string m_zone;
-    bool m_isMember = false; // by the group itself
+    bool m_isMember = false; // on the group's list of members
     std::optional<TimePoint> m_failedAt;
   };
 
--- a/Tests/Control/ClientPartsTest.cxx
+++ b/Tests/Control/ClientPartsTest.cxx
@@ -1,4 +1,6 @@
-// Tests of the parts of the control client that do no input or output.
+// Tests of the classes of the control client that do no I/O. They guard against
+// reporting an uncertain outcome as not accepted, and against a configuration
+// copy that goes back to an older state.
 #include <memory>
 #include <string>
 #include <vector>
@@ -7,7 +9,7 @@
 #include "Control/PendingCalls.h"
 #include "Control/ReplicaDirectory.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
@@ -134,7 +136,7 @@
   directory.RecordFailure(At(2), { "10.0.0.1", 7000 });
   directory.RecordFailure(At(3), { "10.0.0.3", 7000 });
   directory.RecordFailure(At(4), { "10.0.0.9", 7000 });
-  // All have failed: the own zone again, never nothing.
+  // If all replicas have failed, Pick still returns one, in this VM's zone.
   CHECK(directory.Pick(At(5))->m_address == "10.0.0.2");
 }
 
@@ -159,7 +161,7 @@
   CHECK(m_view.ApplyDelta(12, MakeClass("a", 10)));
   m_view.Publish();
   CHECK_EQUAL(12, m_view.Read()->Index());
-  // A replica that lags sends what it has.
+  // A replica that lags behind sends older state.
   m_view.ApplyImage(ImageAt(11));
   CHECK(m_view.ApplyDelta(11, MakeClass("b", 10)));
   m_view.Publish();
--- a/Tests/Control/Cluster.cxx
+++ b/Tests/Control/Cluster.cxx
@@ -1,4 +1,5 @@
-// Three control replicas in this process, over loopback and temporary folders.
+// Test fixture: control replicas (three by default) in this process, with
+// loopback connections and temporary folders.
 #include "Control/Cluster.h"
 
 #include <array>
@@ -20,7 +21,7 @@
 
 namespace {
 
-// A fixture that cannot be set up leaves nothing to test.
+// Ends the test program: without the fixture no test can run.
 [[noreturn]] void
 Abort(const std::string& aWhy)
 {
@@ -202,7 +203,7 @@
     return false;
   });
   if (!found) {
-    Abort("no replica leads");
+    Abort("no leader was elected in time");
   }
   return leader;
 }
--- a/Tests/Control/Cluster.h
+++ b/Tests/Control/Cluster.h
@@ -1,4 +1,5 @@
-// Three control replicas in this process, over loopback and temporary folders.
+// Test fixture: control replicas (three by default) in this process, with
+// loopback connections and temporary folders.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,7 @@
 
 namespace parsleycove {
 
-// A folder that goes away with its object.
+// A folder that is deleted by the destructor.
 class TemporaryFolder
 {
 public:
@@ -29,7 +30,7 @@
   std::string m_path;
 };
 
-// An answer with its error, as a handler gets them.
+// The value and the error that a handler of ControlPort receives.
 template<typename Value>
 struct Answer
 {
@@ -45,7 +46,7 @@
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  // Replicas count from 0 here; their identities from 1.
+  // aReplica is an index that starts at 0; replica identities start at 1.
   void Start(std::size_t aReplica, bool aBootstrap = false);
   void Stop(std::size_t aReplica);
   bool IsRunning(std::size_t aReplica) const;
@@ -57,17 +58,19 @@
   {
     return m_options[aReplica];
   }
-  // Where others reach it: its relay, if it has one.
+  // Returns the address for clients and peers: that of the relay if there is
+  // one.
   SocketAddress Address(std::size_t aReplica) const;
-  // Lets everyone reach this replica through a relay; before the first start.
+  // Routes all connections to this replica through a relay. Call before the
+  // first Start().
   FreezableRelay& AddRelay(std::size_t aReplica);
-  // Adds a replica that is in no membership yet.
+  // Adds a replica that is not a member of the group, and returns its index.
   std::size_t AddSpare(std::uint64_t aReplica, const std::string& aZone);
 
-  // A client of the given zone that knows these replicas.
+  // Returns options for a client in aZone, with all replicas as seeds.
   ControlClientOptions ClientOptions(const std::string& aVm,
                                      const std::string& aZone) const;
-  // Waits for a leader and returns it.
+  // Waits for a leader and returns its index.
   std::size_t WaitForLeader();
 
 private:
@@ -77,23 +80,24 @@
   std::vector<std::unique_ptr<ReplicaService>> m_services;
 };
 
-// A port of 127.0.0.1 that was free a moment ago.
+// Returns a port of 127.0.0.1 that was free during the call. Another process
+// may take it before it is used.
 std::uint16_t
 FindFreePort();
 
-// Zone of the replica with this place: zone-a, zone-b, and so on.
+// Returns the zone of the replica at this index: zone-a, zone-b, and so on.
 std::string
 ZoneOf(std::size_t aReplica);
 
-// Waits between looks for the condition on a condition variable that nothing
-// signals; false at the deadline that only a failing test reaches.
+// Polls the condition. Returns false if it is still false at the deadline,
+// which only a failing test reaches.
 bool
 WaitUntil(const std::function<bool()>& aCondition);
 
 TimePoint
 TestDeadline();
 
-// A configuration change that puts one class of work.
+// Returns a configuration change that puts one work class.
 state::CommandT
 MakeChange(const std::string& aChangeId,
            std::uint64_t aBaseRevision,
@@ -117,8 +121,8 @@
 Answer<feed::StatusReplyT>
 ReadStatus(ControlPort& aPort);
 
-// Calls for a change of the group; true when it was made, with the reason in
-// aFault otherwise.
+// Requests a membership change by aCall and waits for the answer. Returns true
+// if the change was made; otherwise stores the reason in aFault.
 bool
 ChangeGroup(const std::function<void(ControlPort::AdminHandler)>& aCall,
             std::string* aFault = nullptr);
--- a/Tests/Control/EndToEndTest.cxx
+++ b/Tests/Control/EndToEndTest.cxx
@@ -1,11 +1,12 @@
-// Tests of replicas and clients together: commits, in force, lost members.
+// Tests of replicas and clients together: commits, changes in force, lost
+// quorum, restarts from disk and replacement of a failed member.
 #include <memory>
 #include <string>
 #include <vector>
 
 #include "Control/Cluster.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
@@ -18,8 +19,8 @@
   return aAnswer.m_value && aAnswer.m_value->code == state::ResultCode::Ok;
 }
 
-// The client sends a command again when its link breaks or the leader changes;
-// the change that was made is then told as a duplicate.
+// The client sends a command again if its link breaks or the leader changes. If
+// the first send has been applied, the answer is Duplicate.
 bool
 IsApplied(const Answer<state::CommandResultT>& aAnswer)
 {
@@ -91,14 +92,15 @@
   const auto second = Propose(*m_client, MakeChange("c2", 1, "counter"));
   CHECK(second.m_value.has_value());
   CHECK_EQUAL(2, second.m_value->revision);
-  // The same change id through another replica, after the leader has changed.
+  // Sends change id c1 again through another replica, after the leader has
+  // changed.
   const auto late = Connect("late", 3 - leader - other);
   const auto again = Propose(*late, MakeChange("c1", 0, "urgent"));
   CHECK(again.m_value.has_value());
   CHECK(again.m_value->code == state::ResultCode::Duplicate);
   CHECK_EQUAL(first.m_value->index, again.m_value->index);
   CHECK_EQUAL(1, again.m_value->revision);
-  // Of two racing operators with equal numbers one loses.
+  // Of two changes with an equal base revision, the second one is rejected.
   const auto loser = Propose(*late, MakeChange("c3", 1, "booking"));
   CHECK(loser.m_value.has_value());
   CHECK(loser.m_value->code == state::ResultCode::RevisionConflict);
@@ -145,7 +147,7 @@
   CHECK(WaitUntil([&] { return m_client->HasLease(BootClock::now()); }));
   m_cluster.Stop((leader + 1) % 3);
   m_cluster.Stop((leader + 2) % 3);
-  // The leader still runs and answers, but nobody confirms it.
+  // The leader still runs and answers, but no follower confirms its state.
   CHECK(WaitUntil([&] { return !m_client->HasLease(BootClock::now()); }));
   CHECK(WaitUntil([&] { return !m_cluster.Replica(leader).IsLeader(); }));
   const auto refused =
@@ -156,9 +158,9 @@
   CHECK(refused.m_reason.m_code == ControlError::NotAccepted);
   CHECK_FALSE(m_client->HasLease(BootClock::now()));
   CHECK(m_client->View()->FindClass("urgent") != nullptr);
-  // With the quorum back the client goes on by itself.
+  // Once there is a quorum again, the client recovers without a restart.
   m_cluster.Start((leader + 1) % 3);
-  // What was told not to be accepted has not taken revision 2.
+  // The change that was answered as not accepted has not used revision 2.
   const auto third = Propose(*m_client, MakeChange("c3", 1, "booking"));
   CHECK(third.m_value.has_value());
   CHECK_EQUAL(2, third.m_value->revision);
@@ -285,8 +287,8 @@
     }
     return false;
   }));
-  // A voter is listed before its promotion is committed, and a group makes one
-  // change at a time.
+  // The status lists a voter before its promotion is committed, and the group
+  // allows only one membership change at a time.
   std::string fault;
   CHECK(WaitUntil([&] {
     const bool isRemoved = ChangeGroup(
@@ -297,7 +299,8 @@
     return isRemoved || fault != "membership: another change is under way";
   }));
   STRCMP_EQUAL("", fault.c_str());
-  // Right after the repair a second one is lost; the learner makes the quorum.
+  // A second member fails right after the replacement; the new voter completes
+  // the quorum.
   m_cluster.Stop((leader + 2) % 3);
   const auto after = Propose(*m_client, MakeChange("c20", 20, "w20"));
   CHECK(after.m_value.has_value());
--- a/Tests/Control/FreezableRelay.cxx
+++ b/Tests/Control/FreezableRelay.cxx
@@ -1,4 +1,4 @@
-// A TCP relay that can stop passing bytes on, without closing anything.
+// A TCP relay that can stop forwarding bytes without closing its connections.
 #include "Control/FreezableRelay.h"
 
 #include <array>
@@ -22,7 +22,7 @@
 
 namespace {
 
-// One direction of a relayed connection and the socket to write to.
+// One direction of a relayed connection.
 struct Pipe : std::enable_shared_from_this<Pipe>
 {
   Pipe(std::shared_ptr<tcp::socket> aFrom,
@@ -65,7 +65,7 @@
 
   std::shared_ptr<tcp::socket> m_from;
   std::shared_ptr<tcp::socket> m_to;
-  std::shared_ptr<bool> m_frozen; // of this connection, for good
+  std::shared_ptr<bool> m_frozen; // once true, stays true
   std::array<char, 16UL * 1024> m_bytes{};
 };
 
@@ -138,7 +138,7 @@
   asio::io_context m_context{ 1 };
   tcp::acceptor m_acceptor;
   std::shared_ptr<bool> m_frozen = std::make_shared<bool>(false);
-  // Kept open until the end.
+  // Keeps the sockets of frozen connections open until the relay is destroyed.
   std::list<std::shared_ptr<tcp::socket>> m_sockets;
   std::thread m_thread;
 };
--- a/Tests/Control/FreezableRelay.h
+++ b/Tests/Control/FreezableRelay.h
@@ -1,4 +1,4 @@
-// A TCP relay that can stop passing bytes on, without closing anything.
+// A TCP relay that can stop forwarding bytes without closing its connections.
 #pragma once
 
 #include <memory>
@@ -7,9 +7,10 @@
 
 namespace parsleycove {
 
-// Stands for a network path that loses track of its connections. While it is
-// frozen, old connections carry nothing and new ones are taken but not passed
-// on; thawed, it carries new connections only, the old ones stay silent.
+// Simulates a network path that loses its connection state. While the relay is
+// frozen, it forwards nothing on existing connections and accepts new ones
+// without connecting them to the target. After Thaw() it forwards new
+// connections only; those from before stay open and carry nothing.
 class FreezableRelay
 {
 public:
@@ -19,7 +20,7 @@
   FreezableRelay& operator=(const FreezableRelay&) = delete;
 
   SocketAddress Address() const;
-  // Both return once they are in effect.
+  // Freeze and Thaw return after the change has taken effect.
   void Freeze();
   void Thaw();
 
--- a/Tests/Control/SilenceTest.cxx
+++ b/Tests/Control/SilenceTest.cxx
@@ -1,4 +1,5 @@
-// Tests of connections that go silent or are read too slowly.
+// Tests of connections that stay open but carry no data in one or both
+// directions, and of a gateway that reads its feed too slowly.
 #include <memory>
 #include <string>
 #include <vector>
@@ -12,7 +13,7 @@
 #include "Routing/Random.h"
 #include "Wire/MessageCodec.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
@@ -26,7 +27,7 @@
   return aAnswer.m_value && aAnswer.m_value->code == state::ResultCode::Ok;
 }
 
-// A change whose delta is about this long.
+// Returns a change with aCount services, each with a prefix of about 200 bytes.
 state::CommandT
 MakeLongChange(const std::string& aId, std::uint64_t aBase, std::size_t aCount)
 {
@@ -36,7 +37,7 @@
   for (std::size_t i = 0; i < aCount; ++i) {
     auto service = std::make_unique<state::ServiceT>();
     service->name = "service-" + std::to_string(i);
-    // Packing makes nothing of these letters.
+    // Random letters, so that compression does not shorten the delta.
     std::string prefix = "/";
     while (prefix.size() <= 200) {
       prefix.push_back(static_cast<char>('a' + random.Below(26)));
@@ -95,7 +96,7 @@
 {
   FreezableRelay& relay = m_cluster.AddRelay(0);
   StartAll();
-  // Reaches the replica past the relay that its peers use.
+  // The client connects to the replica directly; its peers use the relay.
   ControlClientOptions options = m_cluster.ClientOptions("gateway", "zone-x");
   options.m_seeds = { m_cluster.Options(0).m_listen };
   m_client = std::make_unique<ControlClient>(options);
@@ -123,13 +124,14 @@
   const std::size_t leader = m_cluster.WaitForLeader();
   m_client = Connect("gateway", (leader + 1) % 3);
   CHECK(IsOk(Propose(*m_client, MakeChange("c1", 0, "w1"))));
-  // Its own words still reach the others; theirs do not reach it.
+  // The leader's messages still reach the followers; theirs do not reach the
+  // leader.
   relays[leader]->Freeze();
   const auto second = Propose(*m_client, MakeChange("c2", 1, "w2"));
   CHECK(second.m_value.has_value());
   CHECK_EQUAL(2, second.m_value->revision);
   CHECK(WaitUntil([&] { return !m_cluster.Replica(leader).IsLeader(); }));
-  // The old connections stay silent for good; new ones work.
+  // The old connections carry no more data; new connections work.
   relays[leader]->Thaw();
   CHECK(WaitUntil([&] {
     return m_cluster.Replica(leader).AppliedIndex() >= second.m_value->index;
@@ -159,7 +161,7 @@
   hello.epoch = 1;
   asio::write(slow, asio::buffer(EncodeFeedBody(std::move(hello))->Bytes()));
 
-  // The slow gateway sends its heartbeats, but reads nothing.
+  // The slow gateway sends heartbeats, but reads nothing.
   const Frame::Pointer heartbeat(new Frame(FrameKind::Heartbeat, {}));
   boost::system::error_code error;
   constexpr int kMaxChanges = 400;
@@ -176,7 +178,7 @@
   CHECK(error.failed());
   CHECK(m_client->HasLease(BootClock::now()));
 
-  // Its index lies behind the ring: whoever comes back gets a whole image.
+  // A new client with this VM's name has no index and gets a full image.
   const auto reconnected = Connect("slow", 0);
   CHECK(WaitUntil([&] {
     return reconnected->HasLease(BootClock::now()) &&
