--- a/Source/Control/LeasedConfigView.h
+++ b/Source/Control/LeasedConfigView.h
@@ -53,9 +53,7 @@
   std::uint64_t m_appliedIndex = 0;
   std::uint64_t m_configIndex = 0; // index of the last change
   Publication<const ClusterView> m_view;
-  std::atomic<Duration::rep> m_leaseEnd{
-    0
-  }; // ns of BootClock; 0 if there is no lease
+  std::atomic<Duration::rep> m_leaseEnd{ 0 }; // ns of BootClock; 0: no lease
   std::atomic<std::uint64_t> m_inForceIndex{ 0 };
   std::atomic<std::uint32_t> m_gatewayCount{ 0 };
 };
--- a/Source/Control/ReplicaDirectory.h
+++ b/Source/Control/ReplicaDirectory.h
@@ -1,5 +1,5 @@
-// The control replicas that a gateway knows. Selects the replica to connect to
-// after a failure.
+// The control replicas that a gateway knows. Selects the replica for the next
+// feed.
 #pragma once
 
 #include <cstdint>
--- a/Tests/Control/Cluster.h
+++ b/Tests/Control/Cluster.h
@@ -61,8 +61,8 @@
   // Returns the address for clients and peers: that of the relay if there is
   // one.
   SocketAddress Address(std::size_t aReplica) const;
-  // Routes all connections to this replica through a relay. Call before the
-  // first Start().
+  // Puts a relay in front of this replica; Address() then returns the relay's
+  // address. Call before the first Start().
   FreezableRelay& AddRelay(std::size_t aReplica);
   // Adds a replica that is not a member of the group, and returns its index.
   std::size_t AddSpare(std::uint64_t aReplica, const std::string& aZone);
