--- a/Source/Forwarding/RoutingBoard.h
+++ b/Source/Forwarding/RoutingState.h
@@ -9,7 +9,7 @@
 
 #include "Base/Clock.h"
 #include "Forwarding/ForwardOptions.h"
-#include "Routing/PathBook.h"
+#include "Routing/PathSelector.h"
 #include "Routing/RoutingConfig.h"
 #include "Routing/RunnerTable.h"
 #include "Routing/ServicePicker.h"
@@ -22,21 +22,22 @@
 class DecisionLog;
 
 // What this gateway keeps for one service.
-struct ServiceDesk
+struct ServiceRoutingState
 {
-  ServiceDesk(const std::string& aZone, const WindowedBudgetSettings& aRetries)
+  ServiceRoutingState(const std::string& aZone,
+                      const WindowedBudgetSettings& aRetries)
     : m_paths(aZone)
     , m_retries(aRetries, BootClock::now())
   {
   }
 
-  PathBook m_paths;
+  PathSelector m_paths;
   WindowedBudget m_retries;
   // Moving average of good answers of plain calls.
-  Duration m_usual = std::chrono::milliseconds(20);
+  Duration m_averageLatency = std::chrono::milliseconds(20);
 };
 
-enum class DeathEvidence
+enum class FailureEvidence
 {
   // It refuses connections, has started again, or another endpoint says so.
   Certain,
@@ -47,10 +48,10 @@
 // Follows the replicated state; used by one thread.
 //
 // Invariant: the version of the configuration never goes back.
-class RoutingBoard
+class RoutingState
 {
 public:
-  RoutingBoard(const ForwardOptions& aOptions,
+  RoutingState(const ForwardOptions& aOptions,
                ControlPort& aControl,
                const RoutingConfigCodec& aCodec,
                DecisionLog& aLog);
@@ -60,7 +61,7 @@
 
   // Null until a configuration has been received.
   const RoutingConfig* Config() const { return m_config.get(); }
-  boost::intrusive_ptr<const RoutingConfig> HoldConfig() const
+  boost::intrusive_ptr<const RoutingConfig> SharedConfig() const
   {
     return m_config;
   }
@@ -73,9 +74,9 @@
                                 std::string& aReason);
   // Since when there is no lease; the start of the process at first.
   TimePoint LeaseLostAt() const { return m_leaseLostAt; }
-  std::uint32_t Gateways() const;
+  std::uint32_t GatewayCount() const;
 
-  ServiceDesk& DeskOf(const std::string& aService);
+  ServiceRoutingState& ServiceState(const std::string& aService);
   RunnerPtr PickEndpoint(TimePoint aNow, const PickRequest& aRequest);
   // One of the route's services, by their weights.
   const std::string& ChooseService(const RouteRule& aRoute);
@@ -83,16 +84,16 @@
   double DrawFraction() { return m_random.Fraction(); }
   // Tells the control group that an endpoint was found dead. A missing answer
   // from another availability zone counts once another gateway agrees.
-  void ReportDead(const Runner& aRunner, DeathEvidence aEvidence);
+  void ReportFailure(const Runner& aRunner, FailureEvidence aEvidence);
   // In this VM's availability zone.
-  bool IsNear(const Runner& aRunner) const;
+  bool IsInLocalZone(const Runner& aRunner) const;
   // The circuit of an engine has changed.
   void InvalidatePaths();
 
 private:
-  void TakeDocument(const ClusterView& aView);
-  void TakeEndpoints(const ClusterView& aView);
-  void NoteLease(TimePoint aNow);
+  void ApplyDocument(const ClusterView& aView);
+  void ApplyEndpoints(const ClusterView& aView);
+  void UpdateLease(TimePoint aNow);
 
   const ForwardOptions& m_options;
   ControlPort& m_control;
@@ -101,7 +102,8 @@
   boost::intrusive_ptr<const ClusterView> m_view;
   boost::intrusive_ptr<const RoutingConfig> m_config;
   boost::intrusive_ptr<const RunnerTable> m_runners;
-  std::map<std::string, std::unique_ptr<ServiceDesk>, std::less<>> m_desks;
+  std::map<std::string, std::unique_ptr<ServiceRoutingState>, std::less<>>
+    m_serviceStates;
   ServicePicker m_picker;
   Random m_random;
   std::uint64_t m_documentVersion = 0;
--- /dev/null
+++ b/Source/Forwarding/StreamAttempt.cxx
@@ -0,0 +1,278 @@
+// Follows one sending of a stream's request.
+#include "Forwarding/StreamForwarder.h"
+
+#include <algorithm>
+#include <array>
+#include <cstdio>
+#include <utility>
+
+#include "Forwarding/EngineFailureDetector.h"
+
+namespace parsleycove {
+
+namespace {
+
+constexpr Duration kWriteTimeout = std::chrono::seconds(5);
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(120);
+constexpr unsigned kBadGateway = 502;
+constexpr unsigned kFirstClientError = 400;
+// An event that does not end within this is no event.
+constexpr std::size_t kMaxEventBytes = 1024UL * 1024;
+// A new stream's gap, in steps through an idle path: two tokens an event, and
+// engines that are busy.
+constexpr double kInitialGapSteps = 5;
+// An engine that refuses for want of memory or of time gets no new request for
+// so long; some streams end within it.
+constexpr Duration kRefusalEjection = std::chrono::milliseconds(150);
+// One that no longer holds its part, until it has announced what it holds.
+constexpr Duration kMovedStageEjection = std::chrono::milliseconds(1300);
+constexpr std::string_view kLastChunk = "0\r\n\r\n";
+
+void
+AppendChunk(std::string& aOut, std::string_view aBytes)
+{
+  std::array<char, 20> size{};
+  const int length =
+    std::snprintf(size.data(), size.size(), "%zx\r\n", aBytes.size());
+  aOut.append(size.data(), static_cast<std::size_t>(std::max(length, 0)));
+  aOut.append(aBytes).append("\r\n");
+}
+
+} // namespace
+
+asio::awaitable<AttemptOutcome>
+StreamForwarder::RunAttempt(StagePathPtr aPath)
+{
+  const RunnerPtr first = aPath->m_stages.front().m_runner;
+  ForwardHeaders headers;
+  headers.m_lastEventId = m_events.LastId();
+  headers.m_isResumed = m_hasSentHeader;
+  const EndpointCallPtr call = co_await StartCall(
+    m_request,
+    first,
+    aPath,
+    headers,
+    std::min<Duration>(kConnectTimeout, m_request.TimeLeft() / 2));
+  if (!call) {
+    m_request.m_excluded.push_back(first->m_id);
+    if (!m_request.m_caller->IsDisconnected()) {
+      ReportUnreachable(first);
+    }
+    co_return AttemptOutcome::NotExecuted;
+  }
+  m_pathWaitUntil = TimePoint{};
+  ++m_request.m_attempts;
+  ++m_possibleExecutions;
+  call->SetDeadline(m_request.m_deadline);
+  if (std::find(m_usedFirstRunners.begin(),
+                m_usedFirstRunners.end(),
+                first->m_id) == m_usedFirstRunners.end()) {
+    m_usedFirstRunners.push_back(first->m_id);
+  }
+  call->SetAverageArrivalGap(std::chrono::duration_cast<Duration>(
+    std::chrono::duration<double, std::milli>(aPath->m_stepMs *
+                                              kInitialGapSteps)));
+  call->SetMoveClaim([this] { return ClaimMove(); });
+  m_services.m_failureDetector.TrackStream(call);
+  const AttemptOutcome outcome = co_await Receive(*call);
+  m_request.m_path = call->Path();
+  m_request.m_call = nullptr;
+  call->SetMoveClaim(nullptr);
+  call->Release(BootClock::now());
+  co_return outcome;
+}
+
+void
+StreamForwarder::ReportUnreachable(const RunnerPtr& aFirst)
+{
+  const TimePoint now = BootClock::now();
+  if (m_request.m_call->HasConnectTimedOut()) {
+    m_services.m_failureDetector.ReportUnresponsive(now, aFirst);
+  } else {
+    m_services.m_failureDetector.ReportFailure(
+      now, aFirst, "connection_refused");
+  }
+}
+
+asio::awaitable<AttemptOutcome>
+StreamForwarder::Receive(EndpointCall& aCall)
+{
+  if (!co_await aCall.ReadHeader()) {
+    co_return RecordBrokenCall(aCall);
+  }
+  const EndpointCall::Header& answer = aCall.Answer();
+  const unsigned status = answer.result_int();
+  const AnswerHeaders headers =
+    m_services.m_dialect.ParseAnswerHeaders(status, answer);
+  const bool isForeign =
+    headers.m_attemptId.empty()
+      ? status < kFirstClientError
+      : headers.m_attemptId != m_request.m_headers.m_attemptId;
+  if (isForeign) {
+    aCall.Abort(CallEnd::Foreign);
+    co_return RecordBrokenCall(aCall);
+  }
+  if (headers.m_load) {
+    aCall.Target()->m_load->RecordReport(
+      BootClock::now(), headers.m_load->m_waiting, headers.m_load->m_running);
+  }
+  if (headers.m_isNotExecuted) {
+    co_return HandleRefusal(aCall, headers);
+  }
+  if (status >= kFirstClientError || !headers.m_isSigned) {
+    co_return co_await HandleErrorAnswer(aCall);
+  }
+  co_return co_await RelayEvents(aCall);
+}
+
+AttemptOutcome
+StreamForwarder::HandleRefusal(EndpointCall& aCall,
+                               const AnswerHeaders& aHeaders)
+{
+  --m_possibleExecutions;
+  const TimePoint now = BootClock::now();
+  // Dead, leaving, giving up its layers or short of memory: only the first
+  // concerns the streams that it has.
+  RunnerPtr faulty =
+    m_services.m_failureDetector.FindByAddress(aHeaders.m_faultAddress);
+  if (!faulty) {
+    faulty = aCall.Target();
+  }
+  const bool isMoved = aHeaders.m_isMisdirected;
+  faulty->m_load->EjectFor(now,
+                           isMoved ? kMovedStageEjection : kRefusalEjection);
+  m_serviceState.m_paths.Invalidate();
+  m_services.m_failureDetector.ReportUnresponsive(now, faulty);
+  m_request.m_excluded.push_back(faulty->m_id);
+  m_request.m_lastFault = isMoved ? "stage_moved" : "endpoint_refused";
+  return AttemptOutcome::NotExecuted;
+}
+
+asio::awaitable<AttemptOutcome>
+StreamForwarder::HandleErrorAnswer(EndpointCall& aCall)
+{
+  std::string body;
+  while (co_await aCall.ReadBody(body) && body.size() < kMaxEventBytes) {
+  }
+  const unsigned status = aCall.Answer().result_int();
+  const bool mayRetry = m_request.m_route->m_isResumable &&
+                        m_possibleExecutions < m_request.m_route->m_maxAttempts;
+  if (m_hasSentHeader || mayRetry || aCall.End() != CallEnd::None) {
+    m_request.m_excluded.push_back(aCall.Target()->m_id);
+    m_lastEnd = CallEnd::Broken;
+    m_request.m_lastFault = "endpoint_failed";
+    co_return AttemptOutcome::Broken;
+  }
+  const bool isRelayed = status >= kFirstClientError &&
+                         !m_services.m_dialect.IsNotExecutedStatus(status);
+  m_request.m_status = isRelayed ? status : kBadGateway;
+  m_request.m_end = RequestEnd::Failed;
+  m_request.m_why = "the endpoint answered " + std::to_string(status);
+  std::string out = MakeAnswerHeader(m_request,
+                                     m_request.m_status,
+                                     aCall.Answer(),
+                                     static_cast<std::int64_t>(body.size()));
+  co_await m_request.m_caller->Write(out.append(body), kWriteTimeout);
+  co_return AttemptOutcome::Finished;
+}
+
+asio::awaitable<AttemptOutcome>
+StreamForwarder::RelayEvents(EndpointCall& aCall)
+{
+  m_request.m_status = aCall.Answer().result_int();
+  std::string bytes;
+  while (co_await aCall.ReadBody(bytes)) {
+    RecordProgress(aCall);
+    aCall.NoteRead();
+    if (!co_await RelayBytes(aCall, bytes)) {
+      co_return AttemptOutcome::Finished;
+    }
+    bytes.clear();
+    if (m_events.HasMissingEvent() ||
+        m_events.PendingBytes() > kMaxEventBytes) {
+      aCall.Abort(CallEnd::Broken);
+    }
+  }
+  if (aCall.End() != CallEnd::None) {
+    co_return RecordBrokenCall(aCall);
+  }
+  if (m_events.HasPartialEvent()) {
+    // It ended within an event, so it is not whole.
+    m_lastEnd = CallEnd::Broken;
+    m_request.m_lastFault = NameOfEnd(m_lastEnd);
+    m_events.DiscardPartialEvent();
+    co_return AttemptOutcome::Broken;
+  }
+  std::string out;
+  if (!m_hasSentHeader) {
+    out = MakeAnswerHeader(m_request, m_request.m_status, aCall.Answer(), -1);
+    m_hasSentHeader = true;
+  }
+  const bool written =
+    co_await m_request.m_caller->Write(out.append(kLastChunk), kWriteTimeout);
+  m_request.m_end = written ? RequestEnd::Answered : RequestEnd::CallerGone;
+  co_return AttemptOutcome::Finished;
+}
+
+asio::awaitable<bool>
+StreamForwarder::RelayBytes(EndpointCall& aCall, std::string_view aBytes)
+{
+  std::string events;
+  if (m_events.ExtractEvents(aBytes, events) == 0) {
+    co_return true;
+  }
+  const TimePoint now = BootClock::now();
+  std::string out;
+  if (!m_hasSentHeader) {
+    m_hasSentHeader = true;
+    m_request.m_firstAnswerDelay = now - m_request.m_arrival;
+    m_services.m_metrics.RecordFirstAnswer(m_request.m_route->m_kind,
+                                           m_request.m_firstAnswerDelay);
+    out = MakeAnswerHeader(m_request, m_request.m_status, aCall.Answer(), -1);
+  } else {
+    m_request.m_longestGap =
+      std::max(m_request.m_longestGap, now - m_lastEventAt);
+    m_services.m_metrics.RecordEventGap(now - m_lastEventAt);
+  }
+  m_lastEventAt = now;
+  AppendChunk(out, events);
+  if (co_await m_request.m_caller->Write(std::move(out), kWriteTimeout)) {
+    co_return true;
+  }
+  m_request.m_end = RequestEnd::CallerGone;
+  aCall.Abort(CallEnd::CallerGone);
+  co_return false;
+}
+
+void
+StreamForwarder::RecordProgress(const EndpointCall& aCall)
+{
+  for (const PathStage& stage : aCall.Path()->m_stages) {
+    stage.m_runner->m_load->RecordAnswer(aCall.ProgressAt());
+  }
+}
+
+AttemptOutcome
+StreamForwarder::RecordBrokenCall(EndpointCall& aCall)
+{
+  const CallEnd end = aCall.End();
+  if (end == CallEnd::CallerGone) {
+    m_request.m_end = RequestEnd::CallerGone;
+    return AttemptOutcome::Finished;
+  }
+  m_lastEnd = end;
+  m_request.m_lastFault = NameOfEnd(end);
+  m_events.DiscardPartialEvent();
+  if (end == CallEnd::Stalled) {
+    m_services.m_pool.Drop(*aCall.Target());
+  }
+  if (end != CallEnd::StageLost) {
+    m_request.m_excluded.push_back(aCall.Target()->m_id);
+  }
+  if (end == CallEnd::Broken) {
+    std::erase(m_usedFirstRunners, aCall.Target()->m_id);
+  }
+  return AttemptOutcome::Broken;
+}
+
+} // namespace parsleycove
--- a/Source/Forwarding/StreamForwarder.cxx
+++ b/Source/Forwarding/StreamForwarder.cxx
@@ -17,45 +17,46 @@
 // Sendings that reached nobody, or that were refused, before giving up.
 constexpr std::size_t kMaxRefusals = 2;
 // Runs of one request, whatever broke them off.
-constexpr std::uint32_t kMaxRuns = 4;
-constexpr Duration kPathWait = std::chrono::milliseconds(1600);
-constexpr Duration kPathLook = std::chrono::milliseconds(10);
+constexpr std::uint32_t kMaxExecutions = 4;
+constexpr Duration kMaxPathWait = std::chrono::milliseconds(1600);
+constexpr Duration kPathPollInterval = std::chrono::milliseconds(10);
 // Part of the target for the first event that a request may wait for room.
-constexpr int kFullWaitPart = 2;
+constexpr int kFullWaitDivisor = 2;
 // How long a stream without a run is kept for another one.
-constexpr Duration kResumeWait = std::chrono::milliseconds(1800);
-constexpr Duration kResumeLook = std::chrono::milliseconds(60);
+constexpr Duration kMaxResumeWait = std::chrono::milliseconds(1800);
+constexpr Duration kResumePollInterval = std::chrono::milliseconds(60);
 
 std::uint32_t
-CountExpectedTokens(const CallerMarks& aMarks)
+CountExpectedTokens(const CallerHeaders& aHeaders)
 {
-  const std::uint32_t answer = aMarks.m_expectedAnswerTokens != 0
-                                 ? aMarks.m_expectedAnswerTokens
-                                 : aMarks.m_maxAnswerTokens / 2;
-  return aMarks.m_promptTokens + answer;
+  const std::uint32_t answer = aHeaders.m_expectedAnswerTokens != 0
+                                 ? aHeaders.m_expectedAnswerTokens
+                                 : aHeaders.m_maxAnswerTokens / 2;
+  return aHeaders.m_promptTokens + answer;
 }
 
 } // namespace
 
-StreamForwarder::StreamForwarder(RequestJob& aJob)
-  : m_job(aJob)
-  , m_services(aJob.m_services)
-  , m_desk(aJob.m_services.m_board.DeskOf(aJob.m_service))
-  , m_events(aJob.m_marks.m_lastEventId)
+StreamForwarder::StreamForwarder(ForwardedRequest& aRequest)
+  : m_request(aRequest)
+  , m_services(aRequest.m_services)
+  , m_serviceState(
+      aRequest.m_services.m_routing.ServiceState(aRequest.m_service))
+  , m_events(aRequest.m_headers.m_lastEventId)
 {
-  m_job.m_expectedTokens = CountExpectedTokens(m_job.m_marks);
+  m_request.m_expectedTokens = CountExpectedTokens(m_request.m_headers);
 }
 
 asio::awaitable<void>
 StreamForwarder::Run()
 {
-  m_desk.m_retries.RecordRequest(BootClock::now());
+  m_serviceState.m_retries.RecordRequest(BootClock::now());
   for (;;) {
-    if (m_job.m_caller->IsGone()) {
-      m_job.m_end = RequestEnd::CallerGone;
+    if (m_request.m_caller->IsDisconnected()) {
+      m_request.m_end = RequestEnd::CallerGone;
       co_return;
     }
-    if (m_job.IsOutOfTime()) {
+    if (m_request.IsOutOfTime()) {
       co_await GiveUp(RefusalCause::OutOfTime);
       co_return;
     }
@@ -68,11 +69,11 @@
       }
       continue;
     }
-    const RunVerdict verdict = co_await Try(choice.m_path);
-    if (verdict == RunVerdict::Ended) {
+    const AttemptOutcome outcome = co_await RunAttempt(choice.m_path);
+    if (outcome == AttemptOutcome::Finished) {
       co_return;
     }
-    if (!MayTryAgain(verdict) && !co_await WaitToResume()) {
+    if (!MayRetry(outcome) && !co_await WaitToResume()) {
       co_await GiveUp(RefusalCause::EndpointsRefuse);
       co_return;
     }
@@ -83,24 +84,25 @@
 StreamForwarder::ChoosePath()
 {
   PathRequest request;
-  request.m_tokens = m_job.m_expectedTokens;
-  request.m_promptTokens = m_job.m_marks.m_promptTokens;
-  request.m_gapTarget = m_job.m_route->m_gapTarget;
-  request.m_resumeSeed = m_hasBegun ? HashId(m_job.m_marks.m_attemptId) : 0;
-  request.m_gateways = m_services.m_board.Gateways();
-  request.m_excluded = m_job.m_excluded;
+  request.m_tokens = m_request.m_expectedTokens;
+  request.m_promptTokens = m_request.m_headers.m_promptTokens;
+  request.m_gapTarget = m_request.m_route->m_gapTarget;
+  request.m_restartSeed =
+    m_hasSentHeader ? HashId(m_request.m_headers.m_attemptId) : 0;
+  request.m_gateways = m_services.m_routing.GatewayCount();
+  request.m_excluded = m_request.m_excluded;
   const TimePoint now = BootClock::now();
   request.m_isAllowed = [this](const StagePath& aPath) {
-    return MayBeginAt(aPath);
+    return MayStartAt(aPath);
   };
-  PathChoice choice = m_desk.m_paths.Choose(now, request);
-  if (!choice.m_path && !choice.m_isFull && !m_job.m_excluded.empty()) {
+  PathChoice choice = m_serviceState.m_paths.Choose(now, request);
+  if (!choice.m_path && !choice.m_isFull && !m_request.m_excluded.empty()) {
     // Better an endpoint that refused before than none.
-    m_job.m_excluded.clear();
+    m_request.m_excluded.clear();
     request.m_excluded.clear();
-    choice = m_desk.m_paths.Choose(now, request);
+    choice = m_serviceState.m_paths.Choose(now, request);
   }
-  m_job.m_fill = choice.m_fill;
+  m_request.m_fill = choice.m_fill;
   return choice;
 }
 
@@ -108,36 +110,38 @@
 StreamForwarder::WaitForPath(bool aIsFull)
 {
   const TimePoint now = BootClock::now();
-  if (m_waitsUntil == TimePoint{}) {
+  if (m_pathWaitUntil == TimePoint{}) {
     const Duration most =
-      aIsFull ? std::max(m_job.m_route->m_target / kFullWaitPart, kPathLook)
-              : kPathWait;
-    m_waitsUntil = now + std::min<Duration>(most, m_job.TimeLeft() / 3);
+      aIsFull ? std::max(m_request.m_route->m_target / kFullWaitDivisor,
+                         kPathPollInterval)
+              : kMaxPathWait;
+    m_pathWaitUntil = now + std::min<Duration>(most, m_request.TimeLeft() / 3);
   }
-  if (now >= m_waitsUntil) {
+  if (now >= m_pathWaitUntil) {
     co_return false;
   }
-  asio::steady_timer timer(m_services.m_context, kPathLook);
+  asio::steady_timer timer(m_services.m_context, kPathPollInterval);
   co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-  m_services.m_board.Refresh(BootClock::now());
+  m_services.m_routing.Refresh(BootClock::now());
   co_return true;
 }
 
 asio::awaitable<bool>
 StreamForwarder::WaitToResume()
 {
-  const TimePoint until = m_lastEventAt + kResumeWait;
+  const TimePoint until = m_lastEventAt + kMaxResumeWait;
   asio::steady_timer timer(m_services.m_context);
-  while (m_hasBegun && m_job.m_route->m_isResumable && m_runs < kMaxRuns &&
-         BootClock::now() < until && !m_job.IsOutOfTime()) {
-    timer.expires_after(kResumeLook);
+  while (m_hasSentHeader && m_request.m_route->m_isResumable &&
+         m_possibleExecutions < kMaxExecutions && BootClock::now() < until &&
+         !m_request.IsOutOfTime()) {
+    timer.expires_after(kResumePollInterval);
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    if (m_job.m_caller->IsGone()) {
+    if (m_request.m_caller->IsDisconnected()) {
       co_return true; // noticed at once by the loop
     }
-    m_job.m_excluded.clear();
+    m_request.m_excluded.clear();
     if (ClaimMove()) {
-      m_hasClaimed = false;
+      m_hasRetryClaim = false;
       co_return true;
     }
   }
@@ -145,72 +149,74 @@
 }
 
 bool
-StreamForwarder::MayTryAgain(RunVerdict aVerdict)
+StreamForwarder::MayRetry(AttemptOutcome aOutcome)
 {
-  if (aVerdict == RunVerdict::NotRun && ++m_refusals > kMaxRefusals) {
+  if (aOutcome == AttemptOutcome::NotExecuted && ++m_refusals > kMaxRefusals) {
     return false;
   }
-  if (aVerdict == RunVerdict::Broken &&
-      (!m_job.m_route->m_isResumable || m_runs >= kMaxRuns)) {
+  if (aOutcome == AttemptOutcome::Broken &&
+      (!m_request.m_route->m_isResumable ||
+       m_possibleExecutions >= kMaxExecutions)) {
     return false;
   }
-  if (m_job.m_caller->IsGone()) {
+  if (m_request.m_caller->IsDisconnected()) {
     return true; // noticed at once by the loop
   }
-  return m_job.m_attempts == 0 || std::exchange(m_hasClaimed, false) ||
-         m_desk.m_retries.Spend(BootClock::now(),
-                                m_services.m_board.Gateways());
+  return m_request.m_attempts == 0 || std::exchange(m_hasRetryClaim, false) ||
+         m_serviceState.m_retries.Spend(BootClock::now(),
+                                        m_services.m_routing.GatewayCount());
 }
 
 bool
 StreamForwarder::ClaimMove()
 {
-  const bool mayMove = m_job.m_route->m_isResumable && m_runs < kMaxRuns &&
-                       !m_job.m_caller->IsGone() && !m_job.IsOutOfTime() &&
-                       ChoosePath().m_path;
-  m_hasClaimed =
-    mayMove &&
-    (m_hasClaimed ||
-     m_desk.m_retries.Spend(BootClock::now(), m_services.m_board.Gateways()));
-  return m_hasClaimed;
+  const bool mayMove = m_request.m_route->m_isResumable &&
+                       m_possibleExecutions < kMaxExecutions &&
+                       !m_request.m_caller->IsDisconnected() &&
+                       !m_request.IsOutOfTime() && ChoosePath().m_path;
+  m_hasRetryClaim =
+    mayMove && (m_hasRetryClaim ||
+                m_serviceState.m_retries.Spend(
+                  BootClock::now(), m_services.m_routing.GatewayCount()));
+  return m_hasRetryClaim;
 }
 
 bool
-StreamForwarder::MayBeginAt(const StagePath& aPath) const
+StreamForwarder::MayStartAt(const StagePath& aPath) const
 {
-  const auto& used = m_usedFirst;
-  return used.size() < m_job.m_route->m_maxAttempts ||
+  const auto& used = m_usedFirstRunners;
+  return used.size() < m_request.m_route->m_maxAttempts ||
          std::find(used.begin(), used.end(), aPath.First().m_id) != used.end();
 }
 
 asio::awaitable<void>
 StreamForwarder::GiveUp(RefusalCause aCause)
 {
-  if (m_job.m_caller->IsGone()) {
-    m_job.m_end = RequestEnd::CallerGone;
+  if (m_request.m_caller->IsDisconnected()) {
+    m_request.m_end = RequestEnd::CallerGone;
     co_return;
   }
-  if (m_hasBegun) {
+  if (m_hasSentHeader) {
     // Without the last chunk the caller sees that the answer is not whole.
-    m_job.m_end = RequestEnd::Cut;
-    m_job.m_why = NameOfEnd(m_lastEnd);
-    m_job.m_caller->CloseAfterAnswer();
+    m_request.m_end = RequestEnd::Cut;
+    m_request.m_why = NameOfEnd(m_lastEnd);
+    m_request.m_caller->CloseAfterAnswer();
     co_return;
   }
-  if (m_runs == 0) {
-    co_await Refuse(m_job, aCause);
+  if (m_possibleExecutions == 0) {
+    co_await Refuse(m_request, aCause);
     co_return;
   }
-  const bool isLate = m_lastEnd == CallEnd::Overdue || m_job.IsOutOfTime();
-  co_await Fail(m_job,
+  const bool isLate = m_lastEnd == CallEnd::Overdue || m_request.IsOutOfTime();
+  co_await Fail(m_request,
                 isLate ? kGatewayTimeout : kBadGateway,
                 "no event came: " + std::string(NameOfEnd(m_lastEnd)));
 }
 
 asio::awaitable<void>
-ForwardStream(RequestJob& aJob)
+ForwardStream(ForwardedRequest& aRequest)
 {
-  StreamForwarder forwarder(aJob);
+  StreamForwarder forwarder(aRequest);
   co_await forwarder.Run();
 }
 
--- a/Source/Forwarding/StreamForwarder.h
+++ b/Source/Forwarding/StreamForwarder.h
@@ -6,17 +6,17 @@
 #include <vector>
 
 #include "Forwarding/EventSplitter.h"
-#include "Forwarding/RequestJob.h"
+#include "Forwarding/ForwardedRequest.h"
 
 namespace parsleycove {
 
 // What became of one sending.
-enum class RunVerdict
+enum class AttemptOutcome
 {
   // The answer is complete, or nothing more can be done for the caller.
-  Ended,
+  Finished,
   // Never ran.
-  NotRun,
+  NotExecuted,
   // Ran, and broke off.
   Broken,
 };
@@ -30,7 +30,7 @@
 class StreamForwarder
 {
 public:
-  explicit StreamForwarder(RequestJob& aJob);
+  explicit StreamForwarder(ForwardedRequest& aRequest);
   asio::awaitable<void> Run();
 
 private:
@@ -42,46 +42,48 @@
   // A caller who has had events waits about two seconds for the next one. The
   // budget grows meanwhile, and engines that refuse get room.
   asio::awaitable<bool> WaitToResume();
-  bool MayTryAgain(RunVerdict aVerdict);
+  bool MayRetry(AttemptOutcome aOutcome);
   // Whether the stream may go to another path now; takes what that needs.
   bool ClaimMove();
   // Runners that have run the request and are still there count against the
   // route's limit; a path may begin at one of them again.
-  bool MayBeginAt(const StagePath& aPath) const;
-  asio::awaitable<RunVerdict> Try(StagePathPtr aPath);
-  void NoteUnreachable(const RunnerPtr& aFirst);
-  asio::awaitable<RunVerdict> Receive(ForwardCall& aCall);
-  RunVerdict NoteRefused(ForwardCall& aCall, const AnswerMarks& aMarks);
-  asio::awaitable<RunVerdict> NoteFailure(ForwardCall& aCall);
-  asio::awaitable<RunVerdict> RelayEvents(ForwardCall& aCall);
+  bool MayStartAt(const StagePath& aPath) const;
+  asio::awaitable<AttemptOutcome> RunAttempt(StagePathPtr aPath);
+  void ReportUnreachable(const RunnerPtr& aFirst);
+  asio::awaitable<AttemptOutcome> Receive(EndpointCall& aCall);
+  AttemptOutcome HandleRefusal(EndpointCall& aCall,
+                               const AnswerHeaders& aHeaders);
+  asio::awaitable<AttemptOutcome> HandleErrorAnswer(EndpointCall& aCall);
+  asio::awaitable<AttemptOutcome> RelayEvents(EndpointCall& aCall);
   // False when the caller is gone.
-  asio::awaitable<bool> PassOn(ForwardCall& aCall, std::string_view aBytes);
+  asio::awaitable<bool> RelayBytes(EndpointCall& aCall,
+                                   std::string_view aBytes);
   // A token that came has passed every stage.
-  static void NoteProgress(const ForwardCall& aCall);
-  RunVerdict NoteBroken(ForwardCall& aCall);
+  static void RecordProgress(const EndpointCall& aCall);
+  AttemptOutcome RecordBrokenCall(EndpointCall& aCall);
   // No endpoint is left, or no time. The promise of a refusal is given only if
   // nothing can have run.
   asio::awaitable<void> GiveUp(RefusalCause aCause);
-  RequestJob& m_job;
+  ForwardedRequest& m_request;
   ForwardServices& m_services;
-  ServiceDesk& m_desk;
+  ServiceRoutingState& m_serviceState;
   EventSplitter m_events;
   // Sendings that no endpoint has shown to be without effect.
-  std::uint32_t m_runs = 0;
+  std::uint32_t m_possibleExecutions = 0;
   std::size_t m_refusals = 0;
   // The header of the first run has gone out.
-  bool m_hasBegun = false;
+  bool m_hasSentHeader = false;
   // End of the wait for a path.
-  TimePoint m_waitsUntil{};
+  TimePoint m_pathWaitUntil{};
   // A repeat has been paid for.
-  bool m_hasClaimed = false;
+  bool m_hasRetryClaim = false;
   // First runners of the runs, but for those that have ended.
-  std::vector<std::string> m_usedFirst;
+  std::vector<std::string> m_usedFirstRunners;
   TimePoint m_lastEventAt{};
   CallEnd m_lastEnd = CallEnd::None;
 };
 
 asio::awaitable<void>
-ForwardStream(RequestJob& aJob);
+ForwardStream(ForwardedRequest& aRequest);
 
 } // namespace parsleycove
--- a/Source/Forwarding/StreamRerouter.cxx
+++ b/Source/Forwarding/StreamRerouter.cxx
@@ -36,104 +36,105 @@
 }
 
 void
-StreamRerouter::Attach(RoutingBoard& aBoard, ForwardMetrics& aMetrics)
+StreamRerouter::Attach(RoutingState& aRouting, ForwardMetrics& aMetrics)
 {
-  m_board = &aBoard;
+  m_routing = &aRouting;
   m_metrics = &aMetrics;
 }
 
 bool
-StreamRerouter::Move::IsNear() const
+StreamRerouter::RerouteTask::AddsNoCrossing() const
 {
   return m_path && m_path->m_crossings <= m_stream->Path()->m_crossings;
 }
 
-StreamRerouter::Move
-StreamRerouter::MakeMove(const ForwardCallPtr& aStream) const
+StreamRerouter::RerouteTask
+StreamRerouter::MakeTask(const EndpointCallPtr& aStream) const
 {
-  Move move{ aStream, nullptr, {}, BootClock::now() };
+  RerouteTask move{ aStream, nullptr, {}, BootClock::now() };
   move.m_request.m_tokens = aStream->ExpectedTokens();
   move.m_request.m_seed = HashId(aStream->AttemptId());
   return move;
 }
 
 void
-StreamRerouter::LeaveSlow(const ForwardCallPtr& aStream, const Runner& aSlow)
+StreamRerouter::MoveOffSlowStage(const EndpointCallPtr& aStream,
+                                 const Runner& aSlow)
 {
   const bool isStage = aStream->Path()->Uses(aSlow.m_id) &&
                        aStream->Path()->First().m_id != aSlow.m_id;
   if (!isStage || aStream->IsRerouting() || !aStream->MayReroute()) {
     return;
   }
-  Move move = MakeMove(aStream);
+  RerouteTask move = MakeTask(aStream);
   move.m_request.m_excluded.push_back(aSlow.m_id);
   move.m_path = FindPath(*aStream, move.m_request);
-  if (move.IsNear()) {
+  if (move.AddsNoCrossing()) {
     Enqueue(std::move(move));
   }
 }
 
 void
-StreamRerouter::Leave(const ForwardCallPtr& aStream)
+StreamRerouter::MoveOffFailedStage(const EndpointCallPtr& aStream)
 {
   if (aStream->IsRerouting()) {
     return;
   }
-  Move move = MakeMove(aStream);
+  RerouteTask move = MakeTask(aStream);
   if (aStream->MayReroute()) {
     move.m_path = FindPath(*aStream, move.m_request);
   }
-  const bool stays = move.IsNear() && !PrefersRestart(move);
+  const bool stays = move.AddsNoCrossing() && !ShouldRestart(move);
   if ((stays || !Restart(*aStream)) && move.m_path) {
     Enqueue(std::move(move));
   }
 }
 
 void
-StreamRerouter::Enqueue(Move aMove)
+StreamRerouter::Enqueue(RerouteTask aTask)
 {
-  aMove.m_stream->SetRerouting(true);
-  const std::string first = aMove.m_stream->Target()->m_address.ToString();
-  Lane& lane = m_lanes[first];
-  lane.m_waiting.push_back(std::move(aMove));
-  if (lane.m_workers < kMaxWorkers) {
-    ++lane.m_workers;
-    asio::co_spawn(m_context, Work(first), asio::detached);
+  aTask.m_stream->SetRerouting(true);
+  const std::string first = aTask.m_stream->Target()->m_address.ToString();
+  RerouteQueue& queue = m_queues[first];
+  queue.m_waiting.push_back(std::move(aTask));
+  if (queue.m_workers < kMaxWorkers) {
+    ++queue.m_workers;
+    asio::co_spawn(m_context, RunWorker(first), asio::detached);
   }
 }
 
 asio::awaitable<void>
-StreamRerouter::Work(std::string aFirst)
+StreamRerouter::RunWorker(std::string aFirstAddress)
 {
-  while (!m_lanes[aFirst].m_waiting.empty()) {
-    Move move = std::move(m_lanes[aFirst].m_waiting.front());
-    m_lanes[aFirst].m_waiting.pop_front();
+  while (!m_queues[aFirstAddress].m_waiting.empty()) {
+    RerouteTask move = std::move(m_queues[aFirstAddress].m_waiting.front());
+    m_queues[aFirstAddress].m_waiting.pop_front();
     if (move.m_stream->End() == CallEnd::None) {
-      co_await Give(std::move(move));
+      co_await SendOrder(std::move(move));
     }
   }
-  if (--m_lanes[aFirst].m_workers == 0) {
-    m_lanes.erase(aFirst);
+  if (--m_queues[aFirstAddress].m_workers == 0) {
+    m_queues.erase(aFirstAddress);
   }
 }
 
 StagePathPtr
-StreamRerouter::FindPath(const ForwardCall& aStream,
-                         const RepairRequest& aRequest)
+StreamRerouter::FindPath(const EndpointCall& aStream,
+                         const RerouteRequest& aRequest)
 {
-  return m_board->DeskOf(aStream.Target()->m_service)
-    .m_paths.Repair(BootClock::now(), *aStream.Path(), aRequest);
+  return m_routing->ServiceState(aStream.Target()->m_service)
+    .m_paths.Reroute(BootClock::now(), *aStream.Path(), aRequest);
 }
 
 asio::awaitable<void>
-StreamRerouter::Give(Move aMove)
+StreamRerouter::SendOrder(RerouteTask aTask)
 {
-  ForwardCall& stream = *aMove.m_stream;
+  EndpointCall& stream = *aTask.m_stream;
   std::string_view outcome = "no_answer";
-  for (int i = 0; i < kMaxOrders && aMove.m_path; ++i) {
+  for (int i = 0; i < kMaxOrders && aTask.m_path; ++i) {
     const CallResult result = co_await m_client.Call(
       stream.Target()->m_address,
-      m_dialect.MakeReroute(stream.AttemptId(), *aMove.m_path),
+      m_dialect.MakeRerouteOrder(stream.AttemptId(), *aTask.m_path),
       kOrderTimeout,
       ConnectionChoice::Kept);
     if (stream.End() != CallEnd::None) {
@@ -142,39 +143,39 @@
     if (!result.m_response) {
       break;
     }
-    const RerouteAnswer answer = m_dialect.ReadReroute(
+    const RerouteAnswer answer = m_dialect.ParseRerouteAnswer(
       result.m_response->result_int(), result.m_response->body());
-    if (answer.m_isTaken) {
-      stream.TakePath(aMove.m_path);
+    if (answer.m_isAccepted) {
+      stream.SetPath(aTask.m_path);
       stream.SetRerouting(false);
-      NoteOutcome(stream, "taken", aMove.m_since);
+      RecordOutcome(stream, "taken", aTask.m_startedAt);
       co_return;
     }
     outcome = "refused";
-    const std::string fault = IdAt(*aMove.m_path, answer.m_faultAddress);
+    const std::string fault = FindStageId(*aTask.m_path, answer.m_faultAddress);
     if (fault.empty()) {
       break;
     }
-    aMove.m_request.m_excluded.push_back(fault);
-    aMove.m_path = FindPath(stream, aMove.m_request);
+    aTask.m_request.m_excluded.push_back(fault);
+    aTask.m_path = FindPath(stream, aTask.m_request);
   }
-  NoteOutcome(stream, outcome, aMove.m_since);
+  RecordOutcome(stream, outcome, aTask.m_startedAt);
   stream.SetRerouting(false);
   stream.DenyReroute();
   // A stream with a slow stage only stays where it is.
   const auto& stages = stream.Path()->m_stages;
   const TimePoint now = BootClock::now();
-  const bool hasLost =
+  const bool hasFailedStage =
     std::any_of(stages.begin(), stages.end(), [now](const PathStage& aStage) {
-      return aStage.m_runner->m_load->Circuit(now) != CircuitState::Ok;
+      return aStage.m_runner->m_load->Circuit(now) != CircuitState::Closed;
     });
-  if (hasLost) {
+  if (hasFailedStage) {
     Restart(stream);
   }
 }
 
 std::string
-StreamRerouter::IdAt(const StagePath& aPath, std::string_view aAddress)
+StreamRerouter::FindStageId(const StagePath& aPath, std::string_view aAddress)
 {
   const auto& stages = aPath.m_stages;
   const auto stage =
@@ -185,9 +186,9 @@
 }
 
 void
-StreamRerouter::NoteOutcome(const ForwardCall& aStream,
-                            std::string_view aOutcome,
-                            TimePoint aSince)
+StreamRerouter::RecordOutcome(const EndpointCall& aStream,
+                              std::string_view aOutcome,
+                              TimePoint aStartedAt)
 {
   ++m_metrics->Reroutes();
   m_log.Write(DecisionEvent::StreamRerouted, [&](DecisionLine& aLine) {
@@ -196,25 +197,26 @@
       .Add("outcome", aOutcome)
       .Add("path", aStream.Path()->Describe())
       .Add("crossings", static_cast<std::int64_t>(aStream.Path()->m_crossings))
-      .AddMs("took_ms", BootClock::now() - aSince);
+      .AddMs("took_ms", BootClock::now() - aStartedAt);
   });
 }
 
 bool
-StreamRerouter::PrefersRestart(const Move& aMove) const
+StreamRerouter::ShouldRestart(const RerouteTask& aTask) const
 {
-  const ForwardCall& stream = *aMove.m_stream;
-  const RepairLoad load = m_board->DeskOf(stream.Target()->m_service)
-                            .m_paths.WeighRepair(BootClock::now(),
-                                                 *stream.Path(),
-                                                 *aMove.m_path,
-                                                 stream.ExpectedTokens());
-  Random draw(aMove.m_request.m_seed);
-  return draw.Fraction() > ShareToLeadRound(load);
+  const EndpointCall& stream = *aTask.m_stream;
+  const RerouteLoad load =
+    m_routing->ServiceState(stream.Target()->m_service)
+      .m_paths.EstimateRerouteLoad(BootClock::now(),
+                                   *stream.Path(),
+                                   *aTask.m_path,
+                                   stream.ExpectedTokens());
+  Random draw(aTask.m_request.m_seed);
+  return draw.Fraction() > ComputeRerouteShare(load);
 }
 
 bool
-StreamRerouter::Restart(ForwardCall& aStream)
+StreamRerouter::Restart(EndpointCall& aStream)
 {
   const bool mayMove = aStream.ClaimMove();
   if (mayMove) {
--- a/Source/Forwarding/StreamRerouter.h
+++ b/Source/Forwarding/StreamRerouter.h
@@ -7,7 +7,7 @@
 // budget is not touched.
 //
 // Where one engine would have to read for too many of them, a part of them
-// begins anew all the same (RepairShare).
+// begins anew all the same (RerouteShare).
 //
 // That pays within the zone only. To read the tokens so far, an engine in
 // another zone needs 16 MB for each stream over a pipe that all streams share;
@@ -18,11 +18,11 @@
 #include <string>
 #include <unordered_map>
 
+#include "Forwarding/EndpointCall.h"
 #include "Forwarding/EndpointClient.h"
-#include "Forwarding/ForwardCall.h"
 #include "Forwarding/ForwardDialect.h"
 #include "Forwarding/ForwardMetrics.h"
-#include "Forwarding/RoutingBoard.h"
+#include "Forwarding/RoutingState.h"
 #include "Telemetry/DecisionLog.h"
 
 namespace parsleycove {
@@ -35,60 +35,61 @@
                  DecisionLog& aLog);
 
   // The parts that are made after the rerouter.
-  void Attach(RoutingBoard& aBoard, ForwardMetrics& aMetrics);
+  void Attach(RoutingState& aRouting, ForwardMetrics& aMetrics);
 
   // Gives a stream with a lost stage another path from its first engine. Where
   // none is near the call ends, if the request may be sent again; only what may
   // not takes a path that leaves the zone.
-  void Leave(const ForwardCallPtr& aStream);
+  void MoveOffFailedStage(const EndpointCallPtr& aStream);
   // Gives a stream with a slow stage another path within its zone, if there is
   // one without slow engines.
-  void LeaveSlow(const ForwardCallPtr& aStream, const Runner& aSlow);
+  void MoveOffSlowStage(const EndpointCallPtr& aStream, const Runner& aSlow);
 
 private:
-  struct Move
+  struct RerouteTask
   {
-    ForwardCallPtr m_stream;
+    EndpointCallPtr m_stream;
     StagePathPtr m_path;
-    RepairRequest m_request;
-    TimePoint m_since;
+    RerouteRequest m_request;
+    TimePoint m_startedAt;
 
     // It leaves the zone no more often than before.
-    bool IsNear() const;
+    bool AddsNoCrossing() const;
   };
   // Moves that wait for one first engine, and how many are under way.
-  struct Lane
+  struct RerouteQueue
   {
-    std::deque<Move> m_waiting;
+    std::deque<RerouteTask> m_waiting;
     int m_workers = 0;
   };
 
-  Move MakeMove(const ForwardCallPtr& aStream) const;
-  StagePathPtr FindPath(const ForwardCall& aStream,
-                        const RepairRequest& aRequest);
-  void Enqueue(Move aMove);
-  // Gives the orders of one lane, one after the other.
-  asio::awaitable<void> Work(std::string aFirst);
-  asio::awaitable<void> Give(Move aMove);
-  void NoteOutcome(const ForwardCall& aStream,
-                   std::string_view aOutcome,
-                   TimePoint aSince);
+  RerouteTask MakeTask(const EndpointCallPtr& aStream) const;
+  StagePathPtr FindPath(const EndpointCall& aStream,
+                        const RerouteRequest& aRequest);
+  void Enqueue(RerouteTask aTask);
+  // Gives the orders of one queue, one after the other.
+  asio::awaitable<void> RunWorker(std::string aFirstAddress);
+  asio::awaitable<void> SendOrder(RerouteTask aTask);
+  void RecordOutcome(const EndpointCall& aStream,
+                     std::string_view aOutcome,
+                     TimePoint aStartedAt);
   // The stage with that address; empty: none.
-  static std::string IdAt(const StagePath& aPath, std::string_view aAddress);
+  static std::string FindStageId(const StagePath& aPath,
+                                 std::string_view aAddress);
   // Its share of the streams with the same lost stage begins anew, so that
   // those that are led round wait less.
-  bool PrefersRestart(const Move& aMove) const;
+  bool ShouldRestart(const RerouteTask& aTask) const;
   // Lets the request begin anew at another path; false: it may not.
-  static bool Restart(ForwardCall& aStream);
+  static bool Restart(EndpointCall& aStream);
 
   asio::io_context& m_context;
   const ForwardDialect& m_dialect;
   DecisionLog& m_log;
-  RoutingBoard* m_board = nullptr;
+  RoutingState* m_routing = nullptr;
   ForwardMetrics* m_metrics = nullptr;
   EndpointClient m_client;
   // By the first engine's address.
-  std::unordered_map<std::string, Lane> m_lanes;
+  std::unordered_map<std::string, RerouteQueue> m_queues;
 };
 
 } // namespace parsleycove
--- a/Source/Gateway/AdmissionGate.cxx
+++ b/Source/Gateway/AdmissionGate.cxx
@@ -28,19 +28,19 @@
   Pump();
 }
 
-asio::awaitable<AdmissionAnswer>
+asio::awaitable<AdmissionDecision>
 AdmissionGate::Enter(AdmissionRequest aRequest)
 {
-  const AdmissionAnswer answer =
+  const AdmissionDecision decision =
     m_controller.Submit(BootClock::now(), aRequest);
-  if (answer.m_verdict != AdmissionVerdict::Queued) {
-    co_return answer;
+  if (decision.m_status != AdmissionStatus::Queued) {
+    co_return decision;
   }
   auto slot = std::make_shared<Slot>(m_executor);
   m_waiting.emplace(aRequest.m_id, slot);
   Pump();
-  std::optional<AdmissionAnswer> outcome = co_await slot->Await(kLongest);
-  co_return outcome.value_or(AdmissionAnswer{ AdmissionVerdict::Refused });
+  std::optional<AdmissionDecision> outcome = co_await slot->Await(kLongest);
+  co_return outcome.value_or(AdmissionDecision{ AdmissionStatus::Refused });
 }
 
 void
@@ -55,21 +55,21 @@
 {
   const AdmissionBatch batch = m_controller.TakeReady(BootClock::now());
   for (const std::uint64_t id : batch.m_start) {
-    Resolve(id, { AdmissionVerdict::Admitted });
+    Resolve(id, { AdmissionStatus::Admitted });
   }
-  for (const AdmissionRefused& refused : batch.m_refused) {
+  for (const RefusedRequest& refused : batch.m_refused) {
     Resolve(
       refused.m_id,
-      { AdmissionVerdict::Refused, refused.m_refusal, refused.m_retryAfter });
+      { AdmissionStatus::Refused, refused.m_refusal, refused.m_retryAfter });
   }
   ScheduleTimer();
 }
 
 void
-AdmissionGate::Resolve(std::uint64_t aId, const AdmissionAnswer& aAnswer)
+AdmissionGate::Resolve(std::uint64_t aId, const AdmissionDecision& aDecision)
 {
   if (const auto found = m_waiting.find(aId); found != m_waiting.end()) {
-    found->second->Set(aAnswer);
+    found->second->Set(aDecision);
     m_waiting.erase(found);
   }
 }
--- a/Source/Gateway/AdmissionGate.h
+++ b/Source/Gateway/AdmissionGate.h
@@ -26,17 +26,17 @@
   void SetCapacity(const std::string& aResource, double aCostPerSecond);
   // Waits until the request may start or is refused. An admitted request
   // ends with Leave.
-  asio::awaitable<AdmissionAnswer> Enter(AdmissionRequest aRequest);
+  asio::awaitable<AdmissionDecision> Enter(AdmissionRequest aRequest);
   void Leave(std::uint64_t aId, const AdmissionOutcome& aOutcome);
   std::uint64_t NewId() { return ++m_lastId; }
   std::size_t Waiting() const { return m_waiting.size(); }
 
 private:
-  using Slot = AsyncSlot<AdmissionAnswer>;
+  using Slot = AsyncSlot<AdmissionDecision>;
 
   void Pump();
   void ScheduleTimer();
-  void Resolve(std::uint64_t aId, const AdmissionAnswer& aAnswer);
+  void Resolve(std::uint64_t aId, const AdmissionDecision& aDecision);
 
   asio::any_io_executor m_executor;
   AdmissionController m_controller;
--- a/Source/Gateway/ChatHandler.cxx
+++ b/Source/Gateway/ChatHandler.cxx
@@ -31,24 +31,24 @@
 }
 
 ApiError
-ErrorOf(const AdmissionAnswer& aAnswer)
+ErrorOf(const AdmissionDecision& aDecision)
 {
-  switch (aAnswer.m_refusal) {
+  switch (aDecision.m_refusal) {
     case AdmissionRefusal::AccountShare:
       return { ApiErrorCode::Overloaded,
                "the client account's own requests use up its share",
                CallOutcome::NotApplicable,
-               aAnswer.m_retryAfter };
+               aDecision.m_retryAfter };
     case AdmissionRefusal::NoCapacity:
       return { ApiErrorCode::NoRunner,
                "no runner serves the model at present",
                CallOutcome::NotApplicable,
-               aAnswer.m_retryAfter };
+               aDecision.m_retryAfter };
     default:
       return { ApiErrorCode::Overloaded,
                "the request would not be answered within its class's target",
                CallOutcome::NotApplicable,
-               aAnswer.m_retryAfter };
+               aDecision.m_retryAfter };
   }
 }
 
@@ -145,8 +145,8 @@
   request.m_deadline = caller->m_deadline;
   const std::uint64_t id = request.m_id;
   const OpenSpan span = aContext.m_trace.StartSpan("admission");
-  const AdmissionAnswer answer = co_await gate.Enter(std::move(request));
-  const bool isAdmitted = answer.m_verdict == AdmissionVerdict::Admitted;
+  const AdmissionDecision answer = co_await gate.Enter(std::move(request));
+  const bool isAdmitted = answer.m_status == AdmissionStatus::Admitted;
   aContext.m_trace.EndSpan(span, !isAdmitted);
   if (!isAdmitted) {
     co_await aResponder.SendError(ErrorOf(answer));
--- a/Source/Gateway/Generation.cxx
+++ b/Source/Gateway/Generation.cxx
@@ -127,7 +127,7 @@
   request.m_prefixHash = HashId(m_request.m_prompt);
   request.m_deadline = m_deadline;
   request.m_targets = m_targets;
-  request.m_ownZone = m_services.m_options.m_zone;
+  request.m_gatewayZone = m_services.m_options.m_zone;
   return request;
 }
 
@@ -334,7 +334,7 @@
     return;
   }
   if (aEvent.m_outcome.m_reason.m_code == CallError::Silent) {
-    m_machine.OnStepSilent(now, aEvent.m_attempt, aEvent.m_stage);
+    m_machine.OnStepUnresponsive(now, aEvent.m_attempt, aEvent.m_stage);
   } else {
     m_machine.OnStepFailed(now, aEvent.m_attempt, aEvent.m_stage);
   }
--- a/Source/Gateway/Generation.h
+++ b/Source/Gateway/Generation.h
@@ -12,7 +12,7 @@
 #include "Gateway/CallerGate.h"
 #include "Gateway/StepChannel.h"
 #include "Routing/Chain.h"
-#include "Routing/StreamMachine.h"
+#include "Routing/StreamStateMachine.h"
 
 namespace parsleycove {
 
@@ -89,7 +89,7 @@
   const ClassTargets m_targets;
   const TimePoint m_deadline;
   const std::string m_stream; // names the stream to the engines
-  StreamMachine m_machine;
+  StreamStateMachine m_machine;
   asio::steady_timer m_wakeUp;
   std::deque<StepEvent> m_events;
   std::deque<EmitToken> m_tokens;
--- a/Source/Gateway/IdempotentCall.cxx
+++ b/Source/Gateway/IdempotentCall.cxx
@@ -51,11 +51,11 @@
   PickRequest pick;
   pick.m_service = m_service;
   pick.m_ownZone = m_services.m_options.m_zone;
-  RetryQuestion question;
-  question.m_idempotent = true;
-  question.m_maxAttempts = kMaxAttempts;
-  question.m_deadline = m_caller.m_deadline;
-  for (;; ++question.m_attempts) {
+  RetryRequest retry;
+  retry.m_idempotent = true;
+  retry.m_maxAttempts = kMaxAttempts;
+  retry.m_deadline = m_caller.m_deadline;
+  for (;; ++retry.m_attempts) {
     const auto table = m_services.m_runners.Read();
     const TimePoint now = m_services.m_clock.Now();
     const RunnerPtr target =
@@ -68,8 +68,7 @@
                   kRetryAfter };
       co_return answer;
     }
-    CallResult result =
-      co_await TryOnce(target, aPath, question.m_attempts > 1);
+    CallResult result = co_await TryOnce(target, aPath, retry.m_attempts > 1);
     if (IsGoodAnswer(result)) {
       m_context.m_worker.Retries().RecordSuccess();
       answer.m_response = std::move(result.m_response);
@@ -77,8 +76,8 @@
     }
     pick.m_excluded.push_back(target->m_id);
     const RetryDecision decision =
-      m_context.m_worker.Retries().Decide(m_services.m_clock.Now(), question);
-    if (decision.m_verdict != RetryVerdict::Retry) {
+      m_context.m_worker.Retries().Decide(m_services.m_clock.Now(), retry);
+    if (decision.m_status != RetryStatus::Retry) {
       answer.m_response = std::move(result.m_response);
       if (!answer.m_response) {
         answer.m_error = ApiError{ ApiErrorCode::EndpointFailed,
--- a/Source/Placement/EngineOrders.h
+++ b/Source/Placement/EngineOrders.h
@@ -12,24 +12,24 @@
 enum class OrderOutcome
 {
   // Begun, done, or the engine holds the layers already.
-  Taken,
+  Accepted,
   // It does not fit the engine's present state.
   Refused,
   // The engine has seen a higher fencing token: another leader gives orders.
   Fenced,
   // Another endpoint has the address.
-  NotThere,
+  NotDelivered,
   // May have been taken, or may be carried out later.
   Unknown,
 };
 
-enum class EnginePresence
+enum class EngineProbeResult
 {
-  Answers,
+  Answered,
   // Nothing listens at its address.
-  Gone,
+  Unreachable,
   // No answer in time.
-  Silent,
+  NoAnswer,
 };
 
 class EngineOrders
@@ -37,7 +37,7 @@
 public:
   virtual ~EngineOrders() = default;
   // Whether the engine answers a question that costs it nothing.
-  virtual asio::awaitable<EnginePresence> Ask(RunnerPtr aEngine) = 0;
+  virtual asio::awaitable<EngineProbeResult> Probe(RunnerPtr aEngine) = 0;
   // The engine is to hold exactly these layers. aFence grows with each leader.
   virtual asio::awaitable<OrderOutcome> HoldLayers(RunnerPtr aEngine,
                                                    LayerSpan aSpan,
--- a/Source/Placement/PlacementDirector.cxx
+++ b/Source/Placement/PlacementController.cxx
@@ -1,5 +1,5 @@
 // Gives engines their layers while this VM's replica leads.
-#include "Placement/PlacementDirector.h"
+#include "Placement/PlacementController.h"
 
 #include <utility>
 
@@ -10,30 +10,30 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kLookIntervalMs{ 200 };
+constexpr std::chrono::milliseconds kReconcileIntervalMs{ 200 };
 
 constexpr std::array<EnumName<OrderOutcome>, 5> kOutcomeNames{ {
-  { OrderOutcome::Taken, "taken" },
+  { OrderOutcome::Accepted, "taken" },
   { OrderOutcome::Refused, "refused" },
   { OrderOutcome::Fenced, "fenced" },
-  { OrderOutcome::NotThere, "not_there" },
+  { OrderOutcome::NotDelivered, "not_there" },
   { OrderOutcome::Unknown, "unknown" },
 } };
 
-constexpr std::array<EnumName<EnginePresence>, 3> kPresenceNames{ {
-  { EnginePresence::Answers, "it answers the leader" },
-  { EnginePresence::Gone, "nothing listens at its address" },
-  { EnginePresence::Silent, "it does not answer the leader" },
+constexpr std::array<EnumName<EngineProbeResult>, 3> kProbeResultNames{ {
+  { EngineProbeResult::Answered, "it answers the leader" },
+  { EngineProbeResult::Unreachable, "nothing listens at its address" },
+  { EngineProbeResult::NoAnswer, "it does not answer the leader" },
 } };
 
 } // namespace
 
-PlacementDirector::PlacementDirector(asio::io_context& aContext,
-                                     ControlPort& aControl,
-                                     const RoutingConfigCodec& aCodec,
-                                     EngineOrders& aOrders,
-                                     DecisionLog& aLog,
-                                     TermReader aTerm)
+PlacementController::PlacementController(asio::io_context& aContext,
+                                         ControlPort& aControl,
+                                         const RoutingConfigCodec& aCodec,
+                                         EngineOrders& aOrders,
+                                         DecisionLog& aLog,
+                                         TermReader aTerm)
   : m_context(aContext)
   , m_control(aControl)
   , m_codec(aCodec)
@@ -45,25 +45,25 @@
 }
 
 void
-PlacementDirector::Start()
+PlacementController::Start()
 {
-  m_timer.expires_after(kLookIntervalMs);
+  m_timer.expires_after(kReconcileIntervalMs);
   m_timer.async_wait([this](const boost::system::error_code& aError) {
     if (!aError) {
-      Look();
+      Reconcile();
       Start();
     }
   });
 }
 
 void
-PlacementDirector::Look()
+PlacementController::Reconcile()
 {
   const std::uint64_t term = m_readTerm();
   if (term != m_term) {
     m_term = term;
     m_isFenced = false;
-    for (auto& [service, desk] : m_desks) {
+    for (auto& [service, desk] : m_trackers) {
       desk.Reset();
     }
   }
@@ -71,18 +71,18 @@
   if (m_term == 0 || m_isFenced || !m_control.HasLease(BootClock::now())) {
     return;
   }
-  Follow();
+  UpdateView();
   if (m_config) {
     for (const ServiceRule& service : m_config->Services()) {
       if (service.m_model) {
-        Direct(service);
+        ReconcileService(service);
       }
     }
   }
 }
 
 void
-PlacementDirector::Follow()
+PlacementController::UpdateView()
 {
   auto view = m_control.View();
   if (view == m_view) {
@@ -108,19 +108,21 @@
 }
 
 void
-PlacementDirector::Direct(const ServiceRule& aService)
+PlacementController::ReconcileService(const ServiceRule& aService)
 {
   const auto* engines = m_runners->FindService(aService.m_name);
   if (engines == nullptr) {
     return;
   }
-  PlacementDesk& desk = m_desks[aService.m_name];
-  for (RunnerPtr& engine : desk.FindUnsure(BootClock::now(), *engines)) {
-    asio::co_spawn(
-      m_context, Inquire(aService.m_name, std::move(engine)), asio::detached);
+  PlacementTracker& desk = m_trackers[aService.m_name];
+  for (RunnerPtr& engine :
+       desk.CollectEnginesToProbe(BootClock::now(), *engines)) {
+    asio::co_spawn(m_context,
+                   ProbeEngine(aService.m_name, std::move(engine)),
+                   asio::detached);
   }
   for (DueOrder& order :
-       desk.FindDue(BootClock::now(), *aService.m_model, *engines)) {
+       desk.CollectDueOrders(BootClock::now(), *aService.m_model, *engines)) {
     m_log.Write(DecisionEvent::OrderSent, [&](DecisionLine& aLine) {
       aLine.Add("endpoint", order.m_engine->m_id)
         .Add("kind", order.m_engine->m_accelerator)
@@ -130,30 +132,30 @@
         .Add("index", static_cast<std::int64_t>(m_view->Index()));
     });
     asio::co_spawn(m_context,
-                   Give(aService.m_name, std::move(order), m_term),
+                   SendOrder(aService.m_name, std::move(order), m_term),
                    asio::detached);
   }
 }
 
 asio::awaitable<void>
-PlacementDirector::Inquire(std::string aService, RunnerPtr aEngine)
+PlacementController::ProbeEngine(std::string aService, RunnerPtr aEngine)
 {
-  const EnginePresence presence = co_await m_orders.Ask(aEngine);
-  m_log.Write(presence == EnginePresence::Answers
+  const EngineProbeResult presence = co_await m_orders.Probe(aEngine);
+  m_log.Write(presence == EngineProbeResult::Answered
                 ? DecisionEvent::EndpointCleared
                 : DecisionEvent::EndpointSuspected,
               [&](DecisionLine& aLine) {
                 aLine.Add("endpoint", aEngine->m_id)
                   .Add("address", aEngine->m_address.ToString())
-                  .Add("why", NameOf(kPresenceNames, presence));
+                  .Add("why", NameOf(kProbeResultNames, presence));
               });
-  m_desks[aService].NotePresence(*aEngine, presence);
+  m_trackers[aService].RecordProbeResult(*aEngine, presence);
 }
 
 asio::awaitable<void>
-PlacementDirector::Give(std::string aService,
-                        DueOrder aOrder,
-                        std::uint64_t aTerm)
+PlacementController::SendOrder(std::string aService,
+                               DueOrder aOrder,
+                               std::uint64_t aTerm)
 {
   const OrderOutcome outcome =
     co_await m_orders.HoldLayers(aOrder.m_engine, aOrder.m_span, aTerm);
@@ -166,7 +168,8 @@
     co_return;
   }
   m_isFenced = m_isFenced || outcome == OrderOutcome::Fenced;
-  m_desks[aService].NoteOutcome(BootClock::now(), *aOrder.m_engine, outcome);
+  m_trackers[aService].RecordOrderOutcome(
+    BootClock::now(), *aOrder.m_engine, outcome);
 }
 
 } // namespace parsleycove
--- a/Source/Placement/PlacementDirector.h
+++ b/Source/Placement/PlacementController.h
@@ -9,7 +9,7 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "Placement/EngineOrders.h"
-#include "Placement/PlacementDesk.h"
+#include "Placement/PlacementTracker.h"
 #include "Routing/RoutingConfig.h"
 #include "Routing/RunnerTable.h"
 #include "State/ControlPort.h"
@@ -17,29 +17,29 @@
 
 namespace parsleycove {
 
-class PlacementDirector
+class PlacementController
 {
 public:
   // Term that this VM's replica leads; 0: it does not lead.
   using TermReader = std::function<std::uint64_t()>;
 
-  PlacementDirector(asio::io_context& aContext,
-                    ControlPort& aControl,
-                    const RoutingConfigCodec& aCodec,
-                    EngineOrders& aOrders,
-                    DecisionLog& aLog,
-                    TermReader aTerm);
+  PlacementController(asio::io_context& aContext,
+                      ControlPort& aControl,
+                      const RoutingConfigCodec& aCodec,
+                      EngineOrders& aOrders,
+                      DecisionLog& aLog,
+                      TermReader aTerm);
 
   void Start();
 
 private:
-  void Look();
-  void Follow();
-  void Direct(const ServiceRule& aService);
-  asio::awaitable<void> Inquire(std::string aService, RunnerPtr aEngine);
-  asio::awaitable<void> Give(std::string aService,
-                             DueOrder aOrder,
-                             std::uint64_t aTerm);
+  void Reconcile();
+  void UpdateView();
+  void ReconcileService(const ServiceRule& aService);
+  asio::awaitable<void> ProbeEngine(std::string aService, RunnerPtr aEngine);
+  asio::awaitable<void> SendOrder(std::string aService,
+                                  DueOrder aOrder,
+                                  std::uint64_t aTerm);
 
   asio::io_context& m_context;
   ControlPort& m_control;
@@ -56,7 +56,7 @@
   // Of the last document that was looked at, also of one that is not in force.
   std::uint64_t m_documentVersion = 0;
   boost::intrusive_ptr<const RunnerTable> m_runners;
-  std::map<std::string, PlacementDesk, std::less<>> m_desks;
+  std::map<std::string, PlacementTracker, std::less<>> m_trackers;
 };
 
 } // namespace parsleycove
--- a/Source/Placement/PlacementDesk.h
+++ b/Source/Placement/PlacementTracker.h
@@ -14,37 +14,37 @@
 
 namespace parsleycove {
 
-struct PlacementDeskSettings
+struct PlacementTrackerSettings
 {
   // At the start: plan once no further engine has come for this long, engines
   // announce themselves within a heartbeat of about a second.
-  Duration m_settle = std::chrono::milliseconds(700);
-  Duration m_longestSettle = std::chrono::milliseconds(2500);
+  Duration m_settleTime = std::chrono::milliseconds(700);
+  Duration m_maxSettleTime = std::chrono::milliseconds(2500);
   // An order that the engine does not report as done is given again. Loading
   // a fifth of a model takes about three seconds, several times that when
   // many load at once.
-  Duration m_repeat = std::chrono::seconds(20);
+  Duration m_retryInterval = std::chrono::seconds(20);
   // The same after no answer: the order may still be carried out.
-  Duration m_repeatUnanswered = std::chrono::seconds(4);
-  Duration m_repeatRefused = std::chrono::milliseconds(1500);
+  Duration m_retryAfterNoAnswer = std::chrono::seconds(4);
+  Duration m_retryAfterRefusal = std::chrono::milliseconds(1500);
   // An engine that was reported dead and has not announced itself for this
   // long is lost; engines announce themselves every 1.2 s.
-  Duration m_lostAfter = std::chrono::milliseconds(1600);
+  Duration m_unconfirmedFailureDelay = std::chrono::milliseconds(1600);
   // The same for one that does not answer the leader either. Engines that die
   // together are found within about 0.3 s; a plan made before the last one is
   // known would give layers to a dead one.
-  Duration m_goneAfter = std::chrono::milliseconds(400);
+  Duration m_confirmedFailureDelay = std::chrono::milliseconds(400);
   // Questions without an answer that say so: a single one may be lost.
   int m_silences = 2;
   // From one question to the next.
-  Duration m_askAgain = std::chrono::milliseconds(150);
+  Duration m_probeInterval = std::chrono::milliseconds(150);
   // Borders between engines move only once a lost engine has been away for
   // this long: most crashes last 3 to 5 s.
-  Duration m_reshapeAfter = std::chrono::milliseconds(5500);
+  Duration m_repartitionDelay = std::chrono::milliseconds(5500);
   // How long the others wait for an engine that was given an order; loading a
   // fifth of a model takes about three seconds, and what passes through the
   // layers that it gives up ends within as much.
-  Duration m_loading = std::chrono::milliseconds(6000);
+  Duration m_loadingTimeout = std::chrono::milliseconds(6000);
 };
 
 // An order to give now.
@@ -57,31 +57,33 @@
 // Without input or output. Orders are absolute, and an engine keeps the range
 // that it was once given, so that an order which is carried out late does no
 // harm.
-class PlacementDesk
+class PlacementTracker
 {
 public:
-  explicit PlacementDesk(PlacementDeskSettings aSettings = {});
+  explicit PlacementTracker(PlacementTrackerSettings aSettings = {});
 
   // A new term as leader: earlier orders are not known.
   void Reset();
-  std::vector<DueOrder> FindDue(TimePoint aNow,
-                                const LayeredModel& aModel,
-                                const std::vector<RunnerPtr>& aEngines);
-  void NoteOutcome(TimePoint aNow,
-                   const Runner& aEngine,
-                   OrderOutcome aOutcome);
+  std::vector<DueOrder> CollectDueOrders(
+    TimePoint aNow,
+    const LayeredModel& aModel,
+    const std::vector<RunnerPtr>& aEngines);
+  void RecordOrderOutcome(TimePoint aNow,
+                          const Runner& aEngine,
+                          OrderOutcome aOutcome);
   // Engines that gateways reported dead, to be asked now; each answer goes to
-  // NotePresence.
-  std::vector<RunnerPtr> FindUnsure(TimePoint aNow,
-                                    const std::vector<RunnerPtr>& aEngines);
-  void NotePresence(const Runner& aEngine, EnginePresence aPresence);
+  // RecordProbeResult.
+  std::vector<RunnerPtr> CollectEnginesToProbe(
+    TimePoint aNow,
+    const std::vector<RunnerPtr>& aEngines);
+  void RecordProbeResult(const Runner& aEngine, EngineProbeResult aResult);
 
 private:
   struct Assignment
   {
     std::uint64_t m_incarnation = 0;
     LayerSpan m_span;
-    TimePoint m_repeatAt{};
+    TimePoint m_retryAt{};
     TimePoint m_firstAt{};
   };
 
@@ -89,28 +91,28 @@
   struct Suspicion
   {
     std::uint64_t m_incarnation = 0;
-    TimePoint m_since{};
-    TimePoint m_askedAt{};
-    bool m_isAsked = false;
+    TimePoint m_suspectedAt{};
+    TimePoint m_probedAt{};
+    bool m_isProbePending = false;
     // Questions of the leader without an answer, one after another.
     int m_silences = 0;
-    bool m_isGone = false;
+    bool m_isUnreachable = false;
   };
 
   // Null: nobody suspects it.
-  Suspicion* FindSuspicion(TimePoint aNow, const Runner& aEngine);
-  bool IsLost(TimePoint aNow, const Suspicion& aSuspicion) const;
-  bool HasSettled(TimePoint aNow, std::size_t aEngines);
+  Suspicion* UpdateSuspicion(TimePoint aNow, const Runner& aEngine);
+  bool IsPresumedFailed(TimePoint aNow, const Suspicion& aSuspicion) const;
+  bool UpdateSettled(TimePoint aNow, std::size_t aEngines);
 
-  const PlacementDeskSettings m_settings;
+  const PlacementTrackerSettings m_settings;
   const LayerLayout m_layout;
-  std::map<std::string, Assignment> m_assigned;
+  std::map<std::string, Assignment> m_assignments;
   // By the engine's id.
   std::map<std::string, Suspicion> m_suspicions;
-  std::size_t m_seen = 0;
+  std::size_t m_engineCount = 0;
   TimePoint m_firstAt{};
-  TimePoint m_lastNewAt{};
-  bool m_settled = false;
+  TimePoint m_engineCountChangedAt{};
+  bool m_hasSettled = false;
 };
 
 } // namespace parsleycove
--- a/Source/Routing/AccountShare.h
+++ b/Source/Routing/AccountQueue.h
@@ -9,25 +9,25 @@
 
 // Invariant: linked into the queue's order of accounts exactly while
 // m_waiting is not empty; m_virtualTime does not change while linked.
-class AccountShare : public boost::intrusive::set_base_hook<>
+class AccountQueue : public boost::intrusive::set_base_hook<>
 {
 public:
   // Cost started so far, on the clock that all accounts share.
   double m_virtualTime = 0;
   double m_waitingCost = 0;
-  DeadlineOrder m_waiting;
+  RequestsByDeadline m_waiting;
 };
 
-struct WasServedLess
+struct HasLowerVirtualTime
 {
-  bool operator()(const AccountShare& aLeft, const AccountShare& aRight) const
+  bool operator()(const AccountQueue& aLeft, const AccountQueue& aRight) const
   {
     return aLeft.m_virtualTime < aRight.m_virtualTime;
   }
 };
 
-using AccountOrder =
-  boost::intrusive::multiset<AccountShare,
-                             boost::intrusive::compare<WasServedLess>>;
+using AccountsByVirtualTime =
+  boost::intrusive::multiset<AccountQueue,
+                             boost::intrusive::compare<HasLowerVirtualTime>>;
 
 } // namespace parsleycove
--- a/Source/Routing/AdmissionController.cxx
+++ b/Source/Routing/AdmissionController.cxx
@@ -11,7 +11,7 @@
 AdmissionController::~AdmissionController() = default;
 
 AdmissionQueue&
-AdmissionController::QueueOf(const std::string& aResource)
+AdmissionController::FindOrAddQueue(const std::string& aResource)
 {
   auto& queue = m_queues[aResource];
   if (!queue) {
@@ -32,18 +32,18 @@
                                  std::string_view aResource,
                                  double aCostPerSecond)
 {
-  QueueOf(std::string(aResource)).SetCapacity(aNow, aCostPerSecond);
+  FindOrAddQueue(std::string(aResource)).SetCapacity(aNow, aCostPerSecond);
 }
 
-AdmissionAnswer
+AdmissionDecision
 AdmissionController::Submit(TimePoint aNow, const AdmissionRequest& aRequest)
 {
-  AdmissionQueue& queue = QueueOf(aRequest.m_resource);
-  const AdmissionAnswer answer = queue.Submit(aNow, aRequest);
-  if (answer.m_verdict != AdmissionVerdict::Refused) {
-    m_owners[aRequest.m_id] = &queue;
+  AdmissionQueue& queue = FindOrAddQueue(aRequest.m_resource);
+  const AdmissionDecision decision = queue.Submit(aNow, aRequest);
+  if (decision.m_status != AdmissionStatus::Refused) {
+    m_queueByRequest[aRequest.m_id] = &queue;
   }
-  return answer;
+  return decision;
 }
 
 AdmissionBatch
@@ -53,8 +53,8 @@
   for (const auto& [name, queue] : m_queues) {
     queue->TakeReady(aNow, batch);
   }
-  for (const AdmissionRefused& refused : batch.m_refused) {
-    m_owners.erase(refused.m_id);
+  for (const RefusedRequest& refused : batch.m_refused) {
+    m_queueByRequest.erase(refused.m_id);
   }
   return batch;
 }
@@ -64,23 +64,23 @@
                             std::uint64_t aId,
                             const AdmissionOutcome& aOutcome)
 {
-  const auto found = m_owners.find(aId);
-  if (found == m_owners.end()) {
+  const auto found = m_queueByRequest.find(aId);
+  if (found == m_queueByRequest.end()) {
     return;
   }
   found->second->Finish(aNow, aId, aOutcome);
-  m_owners.erase(found);
+  m_queueByRequest.erase(found);
 }
 
 void
 AdmissionController::Withdraw(TimePoint /*aNow*/, std::uint64_t aId)
 {
-  const auto found = m_owners.find(aId);
-  if (found == m_owners.end()) {
+  const auto found = m_queueByRequest.find(aId);
+  if (found == m_queueByRequest.end()) {
     return;
   }
   found->second->Withdraw(aId);
-  m_owners.erase(found);
+  m_queueByRequest.erase(found);
 }
 
 TimePoint
--- a/Source/Routing/AdmissionController.h
+++ b/Source/Routing/AdmissionController.h
@@ -16,7 +16,7 @@
 
 class AdmissionQueue;
 
-enum class AdmissionVerdict
+enum class AdmissionStatus
 {
   Admitted,
   Queued,
@@ -27,9 +27,9 @@
 {
   None,
   // It would not be answered before its deadline.
-  CannotBeInTime,
+  WouldMissDeadline,
   // The account's own waiting requests use up its share until the deadline.
-  AccountShare,
+  AccountQueue,
   // Nothing serves the model or service at present.
   NoCapacity,
 };
@@ -46,15 +46,15 @@
   TimePoint m_deadline;
 };
 
-struct AdmissionAnswer
+struct AdmissionDecision
 {
-  AdmissionVerdict m_verdict = AdmissionVerdict::Admitted;
+  AdmissionStatus m_status = AdmissionStatus::Admitted;
   AdmissionRefusal m_refusal = AdmissionRefusal::None;
   // When the same request would have a chance, for a refused one.
   Duration m_retryAfter{};
 };
 
-struct AdmissionRefused
+struct RefusedRequest
 {
   std::uint64_t m_id = 0;
   AdmissionRefusal m_refusal = AdmissionRefusal::None;
@@ -65,7 +65,7 @@
 struct AdmissionBatch
 {
   std::vector<std::uint64_t> m_start;
-  std::vector<AdmissionRefused> m_refused;
+  std::vector<RefusedRequest> m_refused;
 };
 
 struct AdmissionOutcome
@@ -92,7 +92,7 @@
   void SetCapacity(TimePoint aNow,
                    std::string_view aResource,
                    double aCostPerSecond);
-  AdmissionAnswer Submit(TimePoint aNow, const AdmissionRequest& aRequest);
+  AdmissionDecision Submit(TimePoint aNow, const AdmissionRequest& aRequest);
   // Says which waiting requests start now and which are refused now.
   AdmissionBatch TakeReady(TimePoint aNow);
   // Ends an admitted request. Unknown ids are ignored.
@@ -110,11 +110,11 @@
   double Limit(std::string_view aResource) const;
 
 private:
-  AdmissionQueue& QueueOf(const std::string& aResource);
+  AdmissionQueue& FindOrAddQueue(const std::string& aResource);
   const AdmissionQueue* FindQueue(std::string_view aResource) const;
 
   std::map<std::string, std::unique_ptr<AdmissionQueue>, std::less<>> m_queues;
-  std::unordered_map<std::uint64_t, AdmissionQueue*> m_owners;
+  std::unordered_map<std::uint64_t, AdmissionQueue*> m_queueByRequest;
 };
 
 } // namespace parsleycove
--- a/Source/Routing/AdmissionQueue.cxx
+++ b/Source/Routing/AdmissionQueue.cxx
@@ -8,12 +8,12 @@
 namespace {
 
 // Share of the time before the latest start that may be planned as waiting.
-constexpr double kPlannedWaitShare = 0.8;
+constexpr double kMaxPlannedWaitShare = 0.8;
 // Share of the time to the first token that may be spent waiting.
-constexpr double kFirstTokenShare = 0.7;
+constexpr double kMaxFirstTokenWaitShare = 0.7;
 // Accounts this many requests ahead of the least served still compete.
-constexpr double kEligibleRequests = 2.0;
-constexpr std::size_t kMaxCompeting = 32;
+constexpr double kMaxLeadRequests = 2.0;
+constexpr std::size_t kMaxCandidateAccounts = 32;
 constexpr Duration kNoCapacityRetry = std::chrono::seconds(1);
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(20);
 
@@ -39,7 +39,7 @@
   for (auto& [name, account] : m_accounts) {
     account.m_waiting.clear();
   }
-  m_active.clear();
+  m_backloggedAccounts.clear();
 }
 
 void
@@ -49,7 +49,7 @@
 }
 
 std::size_t
-AdmissionQueue::ClassOf(TimePoint aNow, const AdmissionRequest& aRequest)
+AdmissionQueue::FindOrAddClass(TimePoint aNow, const AdmissionRequest& aRequest)
 {
   const ClassTargets& targets = aRequest.m_targets;
   // A class without a target of its own is bound by its requests' deadlines.
@@ -60,7 +60,7 @@
   for (std::size_t i = 0; i < m_classes.size(); ++i) {
     if (m_classes[i].m_name == targets.m_name) {
       m_classes[i].m_completion = completion;
-      m_classes[i].m_allowedLate = allowedLate;
+      m_classes[i].m_allowedLateShare = allowedLate;
       return i;
     }
   }
@@ -68,54 +68,54 @@
   return m_classes.size() - 1;
 }
 
-AccountShare&
-AdmissionQueue::AccountOf(const std::string& aName)
+AccountQueue&
+AdmissionQueue::FindOrAddAccount(const std::string& aName)
 {
-  AccountShare& account = m_accounts[aName];
+  AccountQueue& account = m_accounts[aName];
   if (account.m_waiting.empty()) {
-    account.m_virtualTime = std::max(account.m_virtualTime, m_virtualNow);
+    account.m_virtualTime =
+      std::max(account.m_virtualTime, m_systemVirtualTime);
   }
   return account;
 }
 
 bool
-AdmissionQueue::HasRoomFor(double aCost) const
+AdmissionQueue::HasCapacityFor(double aCost) const
 {
   return m_outstandingCost == 0 ||
          m_outstandingCost + aCost <= m_capacity.Limit();
 }
 
-AdmissionAnswer
+AdmissionDecision
 AdmissionQueue::Refuse(AdmissionRefusal aRefusal, Duration aRetryAfter) const
 {
-  return { AdmissionVerdict::Refused,
+  return { AdmissionStatus::Refused,
            aRefusal,
            std::max(aRetryAfter, kMinRetryAfter) };
 }
 
 Duration
-AdmissionQueue::ExpectedWait(const AccountShare& aAccount,
+AdmissionQueue::ExpectedWait(const AccountQueue& aAccount,
                              double aCost,
                              Duration aBudget) const
 {
   // Of a longer class only the part that is due before this request.
   double ahead = 0;
-  for (const ClassQueue& queue : m_classes) {
+  for (const ClassBacklog& queue : m_classes) {
     const double share = queue.m_completion > aBudget
                            ? ToSeconds(aBudget) / ToSeconds(queue.m_completion)
                            : 1.0;
     ahead += queue.m_waitingCost * share;
   }
   // With fair shares, no other account is served more than this one before.
-  const double accounts =
-    static_cast<double>(m_active.size()) + (aAccount.is_linked() ? 0.0 : 1.0);
+  const double accounts = static_cast<double>(m_backloggedAccounts.size()) +
+                          (aAccount.is_linked() ? 0.0 : 1.0);
   const double fair = (aAccount.m_waitingCost + aCost) * accounts;
   return FromSeconds(std::min(ahead + aCost, fair) / m_capacity.Rate());
 }
 
 Duration
-AdmissionQueue::LongestWait(TimePoint aNow,
-                            const AdmissionRequest& aRequest) const
+AdmissionQueue::MaxWait(TimePoint aNow, const AdmissionRequest& aRequest) const
 {
   const Duration slack =
     aRequest.m_deadline - aNow - m_capacity.ServiceTime(aRequest.m_cost);
@@ -123,49 +123,51 @@
   if (firstToken == Duration::zero()) {
     return slack;
   }
-  return std::min(slack, FromSeconds(ToSeconds(firstToken) * kFirstTokenShare));
+  return std::min(slack,
+                  FromSeconds(ToSeconds(firstToken) * kMaxFirstTokenWaitShare));
 }
 
-AdmissionAnswer
+AdmissionDecision
 AdmissionQueue::Submit(TimePoint aNow, const AdmissionRequest& aRequest)
 {
   if (!m_capacity.IsConfigured()) {
     return Refuse(AdmissionRefusal::NoCapacity, kNoCapacityRetry);
   }
-  AccountShare& account = AccountOf(aRequest.m_account);
+  AccountQueue& account = FindOrAddAccount(aRequest.m_account);
   const Duration budget = aRequest.m_deadline - aNow;
   if (budget <= Duration::zero()) {
-    return Refuse(AdmissionRefusal::CannotBeInTime, kMinRetryAfter);
+    return Refuse(AdmissionRefusal::WouldMissDeadline, kMinRetryAfter);
   }
-  const std::size_t classIndex = ClassOf(aNow, aRequest);
-  m_capacity.NoteTarget(m_classes[classIndex].m_completion);
+  const std::size_t classIndex = FindOrAddClass(aNow, aRequest);
+  m_capacity.UpdateTightestTarget(m_classes[classIndex].m_completion);
   m_largestCost = std::max(m_largestCost, aRequest.m_cost);
-  if (m_waiting.empty() && HasRoomFor(aRequest.m_cost)) {
+  if (m_waiting.empty() && HasCapacityFor(aRequest.m_cost)) {
     // Without contention nobody earns credit by staying away.
-    m_virtualNow = std::max(m_virtualNow, account.m_virtualTime);
+    m_systemVirtualTime = std::max(m_systemVirtualTime, account.m_virtualTime);
     Start(aNow, aRequest.m_id, account, aRequest.m_cost, classIndex);
-    return { AdmissionVerdict::Admitted, AdmissionRefusal::None, {} };
+    return { AdmissionStatus::Admitted, AdmissionRefusal::None, {} };
   }
-  m_capacity.NoteSaturated();
+  m_capacity.MarkSaturated();
   const Duration wait = ExpectedWait(account, aRequest.m_cost, budget);
-  const Duration longest = LongestWait(aNow, aRequest);
-  const Duration planned = FromSeconds(ToSeconds(longest) * kPlannedWaitShare);
+  const Duration longest = MaxWait(aNow, aRequest);
+  const Duration planned =
+    FromSeconds(ToSeconds(longest) * kMaxPlannedWaitShare);
   if (wait > planned) {
     const bool ownBacklog =
-      account.m_waitingCost * static_cast<double>(m_active.size()) >
+      account.m_waitingCost * static_cast<double>(m_backloggedAccounts.size()) >
       m_waitingCost;
-    return Refuse(ownBacklog ? AdmissionRefusal::AccountShare
-                             : AdmissionRefusal::CannotBeInTime,
+    return Refuse(ownBacklog ? AdmissionRefusal::AccountQueue
+                             : AdmissionRefusal::WouldMissDeadline,
                   wait - std::max(planned, Duration::zero()));
   }
   Enqueue(aNow, aRequest, account, classIndex);
-  return { AdmissionVerdict::Queued, AdmissionRefusal::None, {} };
+  return { AdmissionStatus::Queued, AdmissionRefusal::None, {} };
 }
 
 void
 AdmissionQueue::Enqueue(TimePoint aNow,
                         const AdmissionRequest& aRequest,
-                        AccountShare& aAccount,
+                        AccountQueue& aAccount,
                         std::size_t aClass)
 {
   WaitingRequest& request = m_requests[aRequest.m_id];
@@ -174,9 +176,9 @@
   request.m_class = aClass;
   request.m_cost = aRequest.m_cost;
   request.m_deadline = aRequest.m_deadline;
-  request.m_latestStart = aNow + LongestWait(aNow, aRequest);
+  request.m_latestStart = aNow + MaxWait(aNow, aRequest);
   if (aAccount.m_waiting.empty()) {
-    m_active.insert(aAccount);
+    m_backloggedAccounts.insert(aAccount);
   }
   aAccount.m_waiting.insert(request);
   aAccount.m_waitingCost += request.m_cost;
@@ -188,27 +190,29 @@
 void
 AdmissionQueue::Start(TimePoint aNow,
                       std::uint64_t aId,
-                      AccountShare& aAccount,
+                      AccountQueue& aAccount,
                       double aCost,
                       std::size_t aClass)
 {
   aAccount.m_virtualTime += aCost;
   m_outstandingCost += aCost;
-  const ClassQueue& queue = m_classes[aClass];
-  m_started[aId] = { aCost, aNow, queue.m_completion, queue.m_allowedLate };
+  const ClassBacklog& queue = m_classes[aClass];
+  m_started[aId] = {
+    aCost, aNow, queue.m_completion, queue.m_allowedLateShare
+  };
 }
 
 void
 AdmissionQueue::Unlink(WaitingRequest& aRequest)
 {
-  AccountShare& account = *aRequest.m_account;
+  AccountQueue& account = *aRequest.m_account;
   account.m_waiting.erase(account.m_waiting.iterator_to(aRequest));
   account.m_waitingCost -= aRequest.m_cost;
   m_waiting.erase(m_waiting.iterator_to(aRequest));
   m_waitingCost -= aRequest.m_cost;
   m_classes[aRequest.m_class].m_waitingCost -= aRequest.m_cost;
   if (account.m_waiting.empty()) {
-    m_active.erase(m_active.iterator_to(account));
+    m_backloggedAccounts.erase(m_backloggedAccounts.iterator_to(account));
     account.m_waitingCost = 0;
   }
   if (m_waiting.empty()) {
@@ -217,14 +221,14 @@
 }
 
 void
-AdmissionQueue::RefuseHopeless(TimePoint aNow, AdmissionBatch& aBatch)
+AdmissionQueue::RefuseOverdue(TimePoint aNow, AdmissionBatch& aBatch)
 {
   while (!m_waiting.empty() && m_waiting.begin()->m_latestStart < aNow) {
     WaitingRequest& request = *m_waiting.begin();
     const Duration drain = FromSeconds(m_waitingCost / m_capacity.Rate());
     Unlink(request);
     aBatch.m_refused.push_back({ request.m_id,
-                                 AdmissionRefusal::CannotBeInTime,
+                                 AdmissionRefusal::WouldMissDeadline,
                                  std::max(drain, kMinRetryAfter) });
     m_requests.erase(request.m_id);
   }
@@ -245,13 +249,14 @@
 WaitingRequest&
 AdmissionQueue::ChooseNext()
 {
-  m_virtualNow = std::max(m_virtualNow, m_active.begin()->m_virtualTime);
-  const double limit =
-    m_active.begin()->m_virtualTime + kEligibleRequests * m_largestCost;
+  m_systemVirtualTime =
+    std::max(m_systemVirtualTime, m_backloggedAccounts.begin()->m_virtualTime);
+  const double limit = m_backloggedAccounts.begin()->m_virtualTime +
+                       kMaxLeadRequests * m_largestCost;
   WaitingRequest* best = nullptr;
   std::size_t seen = 0;
-  for (AccountShare& account : m_active) {
-    if (account.m_virtualTime > limit || seen == kMaxCompeting) {
+  for (AccountQueue& account : m_backloggedAccounts) {
+    if (account.m_virtualTime > limit || seen == kMaxCandidateAccounts) {
       break;
     }
     WaitingRequest& first = *account.m_waiting.begin();
@@ -270,21 +275,21 @@
     RefuseAll(aBatch);
     return;
   }
-  RefuseHopeless(aNow, aBatch);
+  RefuseOverdue(aNow, aBatch);
   while (!m_waiting.empty()) {
     WaitingRequest& request = ChooseNext();
-    if (!HasRoomFor(request.m_cost)) {
-      m_capacity.NoteSaturated();
+    if (!HasCapacityFor(request.m_cost)) {
+      m_capacity.MarkSaturated();
       return;
     }
-    AccountShare& account = *request.m_account;
+    AccountQueue& account = *request.m_account;
     Unlink(request);
     if (account.is_linked()) {
-      m_active.erase(m_active.iterator_to(account));
+      m_backloggedAccounts.erase(m_backloggedAccounts.iterator_to(account));
     }
     Start(aNow, request.m_id, account, request.m_cost, request.m_class);
     if (!account.m_waiting.empty()) {
-      m_active.insert(account);
+      m_backloggedAccounts.insert(account);
     }
     aBatch.m_start.push_back(request.m_id);
     m_requests.erase(request.m_id);
@@ -300,18 +305,18 @@
   if (found == m_started.end()) {
     return;
   }
-  const Started started = found->second;
+  const StartedRequest started = found->second;
   m_started.erase(found);
   m_outstandingCost -= started.m_cost;
   if (m_started.empty()) {
     m_outstandingCost = 0;
   }
-  m_capacity.NoteFinished(aNow,
-                          { started.m_cost,
-                            aNow - started.m_startedAt,
-                            started.m_completion,
-                            aOutcome.m_inTime,
-                            started.m_allowedLate });
+  m_capacity.RecordFinished(aNow,
+                            { started.m_cost,
+                              aNow - started.m_startedAt,
+                              started.m_completion,
+                              aOutcome.m_inTime,
+                              started.m_allowedLateShare });
 }
 
 void
--- a/Source/Routing/AdmissionQueue.h
+++ b/Source/Routing/AdmissionQueue.h
@@ -6,7 +6,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "Routing/AccountShare.h"
+#include "Routing/AccountQueue.h"
 #include "Routing/AdmissionController.h"
 #include "Routing/CapacityEstimate.h"
 
@@ -21,7 +21,7 @@
   AdmissionQueue& operator=(const AdmissionQueue&) = delete;
 
   void SetCapacity(TimePoint aNow, double aCostPerSecond);
-  AdmissionAnswer Submit(TimePoint aNow, const AdmissionRequest& aRequest);
+  AdmissionDecision Submit(TimePoint aNow, const AdmissionRequest& aRequest);
   // Appends to aBatch what leaves the queue now.
   void TakeReady(TimePoint aNow, AdmissionBatch& aBatch);
   void Finish(TimePoint aNow,
@@ -35,39 +35,40 @@
   double Limit() const { return m_capacity.Limit(); }
 
 private:
-  struct Started
+  struct StartedRequest
   {
     double m_cost = 0;
     TimePoint m_startedAt;
     Duration m_completion{};
-    double m_allowedLate = 0;
+    double m_allowedLateShare = 0;
   };
   // Waiting cost of one class.
-  struct ClassQueue
+  struct ClassBacklog
   {
     std::string m_name;
     Duration m_completion{};
-    double m_allowedLate = 0;
+    double m_allowedLateShare = 0;
     double m_waitingCost = 0;
   };
 
-  std::size_t ClassOf(TimePoint aNow, const AdmissionRequest& aRequest);
-  AccountShare& AccountOf(const std::string& aName);
-  bool HasRoomFor(double aCost) const;
-  AdmissionAnswer Refuse(AdmissionRefusal aRefusal, Duration aRetryAfter) const;
+  std::size_t FindOrAddClass(TimePoint aNow, const AdmissionRequest& aRequest);
+  AccountQueue& FindOrAddAccount(const std::string& aName);
+  bool HasCapacityFor(double aCost) const;
+  AdmissionDecision Refuse(AdmissionRefusal aRefusal,
+                           Duration aRetryAfter) const;
   // Expected waiting time behind earlier deadlines and within a fair share.
-  Duration ExpectedWait(const AccountShare& aAccount,
+  Duration ExpectedWait(const AccountQueue& aAccount,
                         double aCost,
                         Duration aBudget) const;
   // Time after which a start would most likely miss a target.
-  Duration LongestWait(TimePoint aNow, const AdmissionRequest& aRequest) const;
+  Duration MaxWait(TimePoint aNow, const AdmissionRequest& aRequest) const;
   void Enqueue(TimePoint aNow,
                const AdmissionRequest& aRequest,
-               AccountShare& aAccount,
+               AccountQueue& aAccount,
                std::size_t aClass);
   void Start(TimePoint aNow,
              std::uint64_t aId,
-             AccountShare& aAccount,
+             AccountQueue& aAccount,
              double aCost,
              std::size_t aClass);
   // Returns the request to start next; something must wait.
@@ -75,22 +76,22 @@
   void Unlink(WaitingRequest& aRequest);
   // Nothing serves the resource any more.
   void RefuseAll(AdmissionBatch& aBatch);
-  void RefuseHopeless(TimePoint aNow, AdmissionBatch& aBatch);
+  void RefuseOverdue(TimePoint aNow, AdmissionBatch& aBatch);
 
   CapacityEstimate m_capacity;
-  std::vector<ClassQueue> m_classes;
-  std::unordered_map<std::string, AccountShare> m_accounts;
+  std::vector<ClassBacklog> m_classes;
+  std::unordered_map<std::string, AccountQueue> m_accounts;
   std::unordered_map<std::uint64_t, WaitingRequest> m_requests;
-  std::unordered_map<std::uint64_t, Started> m_started;
+  std::unordered_map<std::uint64_t, StartedRequest> m_started;
   // The accounts with waiting requests, least served first.
-  AccountOrder m_active;
-  LatestStartOrder m_waiting;
+  AccountsByVirtualTime m_backloggedAccounts;
+  RequestsByLatestStart m_waiting;
   double m_waitingCost = 0;
   double m_outstandingCost = 0;
   double m_largestCost = 0;
   // Virtual time of the least served account; an account that comes back
   // from idleness starts here, without credit for its absence.
-  double m_virtualNow = 0;
+  double m_systemVirtualTime = 0;
 };
 
 } // namespace parsleycove
--- a/Source/Routing/CapacityEstimate.h
+++ b/Source/Routing/CapacityEstimate.h
@@ -11,12 +11,12 @@
 struct FinishedWork
 {
   double m_cost = 0;
-  Duration m_taken{};
+  Duration m_serviceTime{};
   // The class's target for the whole answer.
   Duration m_completion{};
   bool m_inTime = true;
   // Share of late answers that the class's target allows.
-  double m_allowedLate = 0.05;
+  double m_allowedLateShare = 0.05;
 };
 
 // Bounds the outstanding cost. The bound grows by a step while it is reached
@@ -29,8 +29,8 @@
   // Sets the capacity that follows from the runners' rates.
   void Configure(TimePoint aNow, double aCostPerSecond);
   // Tells a class's target; the tightest sets the limit to begin with.
-  void NoteTarget(Duration aCompletion);
-  bool IsConfigured() const { return m_configured > 0; }
+  void UpdateTightestTarget(Duration aCompletion);
+  bool IsConfigured() const { return m_configuredRate > 0; }
 
   // Cost that may be outstanding at once.
   double Limit() const { return m_limit; }
@@ -40,41 +40,41 @@
   Duration ServiceTime(double aCost) const;
 
   // Tells that work had to wait because of the limit.
-  void NoteSaturated() { m_saturated = true; }
-  void NoteFinished(TimePoint aNow, const FinishedWork& aWork);
+  void MarkSaturated() { m_saturated = true; }
+  void RecordFinished(TimePoint aNow, const FinishedWork& aWork);
 
 private:
   void EndWindow(TimePoint aNow);
-  void LearnLeast();
+  void UpdateUnloadedServiceTime();
   void AdaptLimit(TimePoint aNow);
-  void HoldLimit(TimePoint aNow);
-  void NoteStrain(const FinishedWork& aWork, double aCost);
+  void StartCooldown(TimePoint aNow);
+  void CountSlowWork(const FinishedWork& aWork, double aCost);
   void AdaptRate(double aSeconds);
   void Clamp();
 
-  double m_configured = 0;
+  double m_configuredRate = 0;
   double m_limit = 0;
   double m_rate = 0;
   // Seconds for each unit of cost: mean, mean deviation, and the mean of an
   // unloaded resource.
-  double m_perCost = 0;
-  double m_deviation = 0;
-  double m_least = 0;
+  double m_secondsPerCost = 0;
+  double m_secondsPerCostDeviation = 0;
+  double m_unloadedSecondsPerCost = 0;
   double m_meanCost = 1;
-  Duration m_tightest = std::chrono::seconds(10);
+  Duration m_tightestTarget = std::chrono::seconds(10);
   // The limit was found too high at least once.
   bool m_hasDecreased = false;
   // No further change of the limit before work that was started under it ends.
-  TimePoint m_holdUntil;
+  TimePoint m_cooldownUntil;
 
   // The present window.
   TimePoint m_windowStart;
-  std::uint32_t m_finished = 0;
-  std::uint32_t m_late = 0;
-  double m_allowedLate = 0;
-  double m_served = 0;
-  double m_seconds = 0;
-  std::uint32_t m_strained = 0;
+  std::uint32_t m_finishedCount = 0;
+  std::uint32_t m_lateCount = 0;
+  double m_allowedLateShare = 0;
+  double m_servedCost = 0;
+  double m_serviceSeconds = 0;
+  std::uint32_t m_slowCount = 0;
   bool m_saturated = false;
 };
 
--- a/Source/Routing/Chain.h
+++ b/Source/Routing/Chain.h
@@ -49,7 +49,7 @@
   ClassTargets m_targets;
   // Endpoint ids that must not be part of the chain.
   std::vector<std::string> m_excluded;
-  std::string m_ownZone;
+  std::string m_gatewayZone;
   // After a silent stage: runners that answered since then come first, for
   // others may have fallen silent with it. The epoch: no such wish.
   TimePoint m_answeredSince;
--- a/Source/Routing/ChainHold.cxx
+++ b/Source/Routing/ChainReservation.cxx
@@ -1,18 +1,18 @@
 // A chain in use by one generation, counted in the load of its runners.
-#include "Routing/ChainHold.h"
+#include "Routing/ChainReservation.h"
 
 #include <utility>
 
 namespace parsleycove {
 
 const RunnerPtr&
-ChainHold::RunnerAt(std::size_t aStage) const
+ChainReservation::RunnerAt(std::size_t aStage) const
 {
   return m_chain.m_stages[aStage].m_runner;
 }
 
 void
-ChainHold::Take(Chain aChain)
+ChainReservation::Reserve(Chain aChain)
 {
   Release();
   m_chain = std::move(aChain);
@@ -22,7 +22,7 @@
 }
 
 void
-ChainHold::Release()
+ChainReservation::Release()
 {
   if (m_step) {
     RunnerAt(m_step->m_stage)->m_load->AbandonStep(m_step->m_count);
@@ -35,16 +35,16 @@
 }
 
 void
-ChainHold::StartStep(const OutstandingStep& aStep)
+ChainReservation::StartStep(const OutstandingStep& aStep)
 {
   m_step = aStep;
   RunnerLoad& load = *RunnerAt(aStep.m_stage)->m_load;
-  load.NoteSent(aStep.m_sentAt);
+  load.RecordSend(aStep.m_sentAt);
   load.StartStep(aStep.m_count);
 }
 
 void
-ChainHold::FinishStep(TimePoint aNow)
+ChainReservation::FinishStep(TimePoint aNow)
 {
   const OutstandingStep step = *m_step;
   m_step.reset();
--- a/Source/Routing/ChainHold.h
+++ b/Source/Routing/ChainReservation.h
@@ -22,17 +22,17 @@
 
 // Invariant: each runner of the chain counts one stream and the outstanding
 // step until they are released, on every way out.
-class ChainHold
+class ChainReservation
 {
 public:
-  ChainHold() = default;
-  ~ChainHold() { Release(); }
-  ChainHold(const ChainHold&) = delete;
-  ChainHold& operator=(const ChainHold&) = delete;
+  ChainReservation() = default;
+  ~ChainReservation() { Release(); }
+  ChainReservation(const ChainReservation&) = delete;
+  ChainReservation& operator=(const ChainReservation&) = delete;
 
-  void Take(Chain aChain);
+  void Reserve(Chain aChain);
   void Release();
-  std::size_t Stages() const { return m_chain.m_stages.size(); }
+  std::size_t StageCount() const { return m_chain.m_stages.size(); }
   const RunnerPtr& RunnerAt(std::size_t aStage) const;
 
   // At most one step is outstanding.
--- a/Source/Routing/ExpectedCompletionPlanner.cxx
+++ b/Source/Routing/ExpectedCompletionPlanner.cxx
@@ -47,21 +47,22 @@
                  "deadline: expected a time to come");
     return std::nullopt;
   }
-  PrepareLinks(aTable, aRequest.m_ownZone);
+  PrepareLinks(aTable, aRequest.m_gatewayZone);
   PrepareExcluded(aRequest);
   m_linkWeight = std::max(1U, aRequest.m_expectedTokens);
   // Doubtful runners are taken only when no chain exists without them.
-  for (const Trust trust :
-       { Trust::Answered, Trust::Unsuspected, Trust::Any }) {
+  for (const RunnerFilter trust : { RunnerFilter::AnsweredSince,
+                                    RunnerFilter::Unsuspected,
+                                    RunnerFilter::Any }) {
     ComputeCosts(aNow, *set, aRequest, trust);
-    if (RunForward(*set, layers)) {
-      return WalkBack(aNow, *set, layers);
+    if (ComputeLeastCosts(*set, layers)) {
+      return BuildChain(aNow, *set, layers);
     }
   }
   std::uint32_t reached = 0;
   for (std::uint32_t boundary = 0; boundary < layers; ++boundary) {
     for (std::uint32_t zone = 0; zone < m_zones; ++zone) {
-      reached = Best(boundary, zone) < kUnreachable ? boundary : reached;
+      reached = LeastCost(boundary, zone) < kUnreachable ? boundary : reached;
     }
   }
   return FailAtLayer(aRequest, reached);
@@ -69,22 +70,24 @@
 
 void
 ExpectedCompletionPlanner::PrepareLinks(const RunnerTable& aTable,
-                                        const std::string& aOwnZone)
+                                        const std::string& aGatewayZone)
 {
   const auto& zones = aTable.Zones();
-  if (m_zones > 0 && m_linkZones == zones && m_linkOwnZone == aOwnZone) {
+  if (m_zones > 0 && m_linkZones == zones &&
+      m_linkGatewayZone == aGatewayZone) {
     return;
   }
   m_linkZones = zones;
-  m_linkOwnZone = aOwnZone;
+  m_linkGatewayZone = aGatewayZone;
   m_zones = std::max<std::size_t>(zones.size(), 1);
   m_links.assign(m_zones * m_zones, 0.0);
-  m_ownLinks.assign(m_zones, 0.0);
+  m_gatewayLinks.assign(m_zones, 0.0);
   for (std::size_t from = 0; from < zones.size(); ++from) {
-    m_ownLinks[from] = ToNs(m_settings.m_links.OneWay(aOwnZone, zones[from]));
+    m_gatewayLinks[from] =
+      ToNs(m_settings.m_links.OneWayLatency(aGatewayZone, zones[from]));
     for (std::size_t to = 0; to < zones.size(); ++to) {
       m_links[from * m_zones + to] =
-        ToNs(m_settings.m_links.OneWay(zones[from], zones[to]));
+        ToNs(m_settings.m_links.OneWayLatency(zones[from], zones[to]));
     }
   }
 }
@@ -106,18 +109,18 @@
 }
 
 bool
-ExpectedCompletionPlanner::IsTrusted(TimePoint aNow,
-                                     const Runner& aRunner,
-                                     const ChainRequest& aRequest,
-                                     Trust aTrust)
+ExpectedCompletionPlanner::MatchesFilter(TimePoint aNow,
+                                         const Runner& aRunner,
+                                         const ChainRequest& aRequest,
+                                         RunnerFilter aFilter)
 {
   const RunnerLoad& load = *aRunner.m_load;
-  if (aTrust == Trust::Any) {
+  if (aFilter == RunnerFilter::Any) {
     return true;
   }
   const bool suspect =
-    load.Circuit(aNow) == CircuitState::Suspect || load.IsUnanswering(aNow);
-  const bool answered = aTrust == Trust::Unsuspected ||
+    load.Circuit(aNow) == CircuitState::Suspect || load.IsUnresponsive(aNow);
+  const bool answered = aFilter == RunnerFilter::Unsuspected ||
                         aRequest.m_answeredSince == TimePoint{} ||
                         load.HasAnsweredSince(aRequest.m_answeredSince);
   return !suspect && answered;
@@ -127,20 +130,20 @@
 ExpectedCompletionPlanner::ComputeCosts(TimePoint aNow,
                                         const RunnerSet& aSet,
                                         const ChainRequest& aRequest,
-                                        Trust aTrust)
+                                        RunnerFilter aFilter)
 {
   m_costs.assign(aSet.m_runners.size(), {});
   for (std::size_t i = 0; i < aSet.m_runners.size(); ++i) {
     const Runner& runner = *aSet.m_runners[i];
     const bool usable =
-      !IsExcluded(runner) && IsTrusted(aNow, runner, aRequest, aTrust);
+      !IsExcluded(runner) && MatchesFilter(aNow, runner, aRequest, aFilter);
     if (usable) {
       m_costs[i] = ComputeCost(aNow, runner, aRequest);
     }
   }
   if (aRequest.m_prefixHash != 0) {
     for (const RangeGroup& group : aSet.m_groups) {
-      PreferByPrefix(aSet, group, aRequest);
+      ApplyPrefixAffinity(aSet, group, aRequest);
     }
   }
 }
@@ -160,11 +163,11 @@
   const double streams = load.EstimateStreams(aNow) + 1.0;
   const double filled = streams / slots;
   const double rounds = std::max(kEmptyStepShare * (1.0 + filled), filled);
-  const double slowness = load.Slowness(aNow);
+  const double slowness = load.Slowdown(aNow);
   const double step = perToken * slots * rounds * slowness;
   double transfer = 0;
   if (m_settings.m_transport == ChainTransport::Relayed) {
-    transfer = 2.0 * m_ownLinks[aRunner.m_zoneIndex];
+    transfer = 2.0 * m_gatewayLinks[aRunner.m_zoneIndex];
   }
   StageCost cost;
   cost.m_usable = true;
@@ -179,9 +182,9 @@
 }
 
 void
-ExpectedCompletionPlanner::PreferByPrefix(const RunnerSet& aSet,
-                                          const RangeGroup& aGroup,
-                                          const ChainRequest& aRequest)
+ExpectedCompletionPlanner::ApplyPrefixAffinity(const RunnerSet& aSet,
+                                               const RangeGroup& aGroup,
+                                               const ChainRequest& aRequest)
 {
   // Rendezvous hashing: every gateway prefers the same runner for a prefix,
   // and a vanished runner moves only its own prefixes.
@@ -207,46 +210,48 @@
   }
   StageCost& cost = m_costs[*preferred];
   if (cost.m_load <= m_settings.m_prefixLoadBound * loads / usable) {
-    const double saved = cost.m_prefill * m_settings.m_prefixShare;
+    const double saved = cost.m_prefill * m_settings.m_cachedPrefixShare;
     cost.m_prefill -= saved;
     cost.m_total -= saved;
   }
 }
 
 double&
-ExpectedCompletionPlanner::Best(std::uint32_t aBoundary, std::uint32_t aZone)
+ExpectedCompletionPlanner::LeastCost(std::uint32_t aBoundary,
+                                     std::uint32_t aZone)
 {
-  return m_best[aBoundary * m_zones + aZone];
+  return m_leastCosts[aBoundary * m_zones + aZone];
 }
 
 double
-ExpectedCompletionPlanner::Link(std::uint32_t aFrom, std::uint32_t aTo) const
+ExpectedCompletionPlanner::LinkCost(std::uint32_t aFrom,
+                                    std::uint32_t aTo) const
 {
   return m_links[aFrom * m_zones + aTo] * m_linkWeight;
 }
 
 double
-ExpectedCompletionPlanner::CostBefore(const Runner& aRunner) const
+ExpectedCompletionPlanner::CostToReach(const Runner& aRunner) const
 {
-  const double* row = &m_best[aRunner.m_firstLayer * m_zones];
+  const double* row = &m_leastCosts[aRunner.m_firstLayer * m_zones];
   if (aRunner.m_firstLayer == 0) {
     return row[0];
   }
-  const bool handsOn = m_settings.m_transport == ChainTransport::HandedOn;
+  const bool handsOn = m_settings.m_transport == ChainTransport::Direct;
   double best = kUnreachable;
   for (std::uint32_t zone = 0; zone < m_zones; ++zone) {
-    const double link = handsOn ? Link(zone, aRunner.m_zoneIndex) : 0.0;
+    const double link = handsOn ? LinkCost(zone, aRunner.m_zoneIndex) : 0.0;
     best = std::min(best, row[zone] + link);
   }
   return best;
 }
 
 bool
-ExpectedCompletionPlanner::RunForward(const RunnerSet& aSet,
-                                      std::uint32_t aLayers)
+ExpectedCompletionPlanner::ComputeLeastCosts(const RunnerSet& aSet,
+                                             std::uint32_t aLayers)
 {
-  m_best.assign((aLayers + 1) * m_zones, kUnreachable);
-  std::fill_n(m_best.begin(), m_zones, 0.0);
+  m_leastCosts.assign((aLayers + 1) * m_zones, kUnreachable);
+  std::fill_n(m_leastCosts.begin(), m_zones, 0.0);
   // Groups are sorted by first layer, so each boundary is final when used.
   for (const RangeGroup& group : aSet.m_groups) {
     for (std::size_t i = group.m_begin; i < group.m_end; ++i) {
@@ -254,13 +259,13 @@
         continue;
       }
       const Runner& runner = *aSet.m_runners[i];
-      const double total = CostBefore(runner) + m_costs[i].m_total;
-      double& best = Best(runner.m_lastLayer + 1, runner.m_zoneIndex);
+      const double total = CostToReach(runner) + m_costs[i].m_total;
+      double& best = LeastCost(runner.m_lastLayer + 1, runner.m_zoneIndex);
       best = std::min(best, total);
     }
   }
   for (std::uint32_t zone = 0; zone < m_zones; ++zone) {
-    if (Best(aLayers, zone) < kUnreachable) {
+    if (LeastCost(aLayers, zone) < kUnreachable) {
       return true;
     }
   }
@@ -268,17 +273,17 @@
 }
 
 std::optional<std::size_t>
-ExpectedCompletionPlanner::ChooseBefore(const RunnerSet& aSet,
-                                        std::uint32_t aBoundary,
-                                        const Runner* aNext)
+ExpectedCompletionPlanner::ChooseRunnerEndingAt(const RunnerSet& aSet,
+                                                std::uint32_t aBoundary,
+                                                const Runner* aNext)
 {
   const bool handsOn =
-    aNext && m_settings.m_transport == ChainTransport::HandedOn;
+    aNext && m_settings.m_transport == ChainTransport::Direct;
   const auto costOf = [&](std::size_t aIndex) {
     const Runner& runner = *aSet.m_runners[aIndex];
     const double link =
-      handsOn ? Link(runner.m_zoneIndex, aNext->m_zoneIndex) : 0.0;
-    return CostBefore(runner) + m_costs[aIndex].m_total + link;
+      handsOn ? LinkCost(runner.m_zoneIndex, aNext->m_zoneIndex) : 0.0;
+    return CostToReach(runner) + m_costs[aIndex].m_total + link;
   };
   double best = kUnreachable;
   double stage = 0;
@@ -314,16 +319,16 @@
 }
 
 std::optional<Chain>
-ExpectedCompletionPlanner::WalkBack(TimePoint aNow,
-                                    const RunnerSet& aSet,
-                                    std::uint32_t aLayers)
+ExpectedCompletionPlanner::BuildChain(TimePoint aNow,
+                                      const RunnerSet& aSet,
+                                      std::uint32_t aLayers)
 {
   Chain chain;
   const Runner* next = nullptr;
   double prefill = 0;
   double interval = 0;
   for (std::uint32_t boundary = aLayers; boundary > 0;) {
-    const auto chosen = ChooseBefore(aSet, boundary, next);
+    const auto chosen = ChooseRunnerEndingAt(aSet, boundary, next);
     if (!chosen) {
       return std::nullopt;
     }
@@ -335,9 +340,9 @@
         runner->m_lastLayer,
         Duration(static_cast<std::int64_t>(m_costs[*chosen].m_interval)) });
     const bool handsOn =
-      next && m_settings.m_transport == ChainTransport::HandedOn;
+      next && m_settings.m_transport == ChainTransport::Direct;
     const double link =
-      handsOn ? Link(runner->m_zoneIndex, next->m_zoneIndex) / m_linkWeight
+      handsOn ? LinkCost(runner->m_zoneIndex, next->m_zoneIndex) / m_linkWeight
               : 0.0;
     prefill += m_costs[*chosen].m_prefill + link;
     interval += m_costs[*chosen].m_interval + link;
--- a/Source/Routing/FlowNetwork.cxx
+++ b/Source/Routing/FlowNetwork.cxx
@@ -39,7 +39,7 @@
 FlowNetwork::MaximumFlow(std::size_t aSource, std::size_t aSink)
 {
   for (Edge& edge : m_edges) {
-    edge.m_left = edge.m_capacity;
+    edge.m_residual = edge.m_capacity;
   }
   double total = 0;
   while (FindLevels(aSource, aSink)) {
@@ -59,7 +59,7 @@
 double
 FlowNetwork::FlowOver(std::size_t aEdge) const
 {
-  return m_edges[2 * aEdge + 1].m_left;
+  return m_edges[2 * aEdge + 1].m_residual;
 }
 
 bool
@@ -72,7 +72,7 @@
     const std::size_t node = queue[i];
     for (const std::size_t index : m_outgoing[node]) {
       const Edge& edge = m_edges[index];
-      if (edge.m_left > kEpsilon && m_levels[edge.m_to] < 0) {
+      if (edge.m_residual > kEpsilon && m_levels[edge.m_to] < 0) {
         m_levels[edge.m_to] = m_levels[node] + 1;
         queue.push_back(edge.m_to);
       }
@@ -93,14 +93,15 @@
     const std::size_t index = m_outgoing[aNode][next];
     const Edge edge = m_edges[index];
     const bool descends =
-      edge.m_left > kEpsilon && m_levels[edge.m_to] == m_levels[aNode] + 1;
+      edge.m_residual > kEpsilon && m_levels[edge.m_to] == m_levels[aNode] + 1;
     if (!descends) {
       continue;
     }
-    const double pushed = Push(edge.m_to, aSink, std::min(aLimit, edge.m_left));
+    const double pushed =
+      Push(edge.m_to, aSink, std::min(aLimit, edge.m_residual));
     if (pushed > kEpsilon) {
-      m_edges[index].m_left -= pushed;
-      m_edges[index ^ 1].m_left += pushed;
+      m_edges[index].m_residual -= pushed;
+      m_edges[index ^ 1].m_residual += pushed;
       return pushed;
     }
   }
--- a/Source/Routing/FlowNetwork.h
+++ b/Source/Routing/FlowNetwork.h
@@ -26,7 +26,7 @@
     std::size_t m_to = 0;
     double m_capacity = 0;
     // Capacity that is left; the reverse edge's is the flow.
-    double m_left = 0;
+    double m_residual = 0;
   };
 
   bool FindLevels(std::size_t aSource, std::size_t aSink);
--- a/Source/Routing/HedgePolicy.cxx
+++ b/Source/Routing/HedgePolicy.cxx
@@ -23,10 +23,10 @@
 }
 
 void
-HedgePolicy::RecordAnswer(Duration aTaken)
+HedgePolicy::RecordAnswer(Duration aLatency)
 {
   const double ratio =
-    std::max(1.0, static_cast<double>(aTaken.count()) / kSmallestBucketNs);
+    std::max(1.0, static_cast<double>(aLatency.count()) / kSmallestBucketNs);
   const auto bucket =
     static_cast<std::size_t>(std::log2(ratio) * kBucketsPerOctave);
   m_counts[std::min(bucket, kBuckets - 1)] += 1.0;
@@ -55,9 +55,9 @@
 }
 
 std::optional<TimePoint>
-HedgePolicy::HedgeAt(TimePoint aSentAt,
-                     bool aIdempotent,
-                     TimePoint aDeadline) const
+HedgePolicy::HedgeTime(TimePoint aSentAt,
+                       bool aIdempotent,
+                       TimePoint aDeadline) const
 {
   if (!aIdempotent || m_total < kMinSamples) {
     return std::nullopt;
--- a/Source/Routing/HedgePolicy.h
+++ b/Source/Routing/HedgePolicy.h
@@ -17,11 +17,11 @@
 public:
   explicit HedgePolicy(RetryBudget& aBudget);
 
-  void RecordAnswer(Duration aTaken);
+  void RecordAnswer(Duration aLatency);
   // When a hedge of a call sent at aSentAt is due; nothing: no hedge.
-  std::optional<TimePoint> HedgeAt(TimePoint aSentAt,
-                                   bool aIdempotent,
-                                   TimePoint aDeadline) const;
+  std::optional<TimePoint> HedgeTime(TimePoint aSentAt,
+                                     bool aIdempotent,
+                                     TimePoint aDeadline) const;
   // Pays for a hedge that is due; false: go on waiting for the first call.
   bool Spend() { return m_budget.Spend(); }
 
--- a/Source/Routing/LayerCoverage.cxx
+++ b/Source/Routing/LayerCoverage.cxx
@@ -17,7 +17,7 @@
 }
 
 LayerSpan
-LayerCoverage::FindLeast() const
+LayerCoverage::FindLeastCovered() const
 {
   const auto least = std::min_element(m_counts.begin(), m_counts.end());
   const auto end = std::find_if(
@@ -27,7 +27,7 @@
 }
 
 int
-LayerCoverage::LeastOf(const LayerSpan& aSpan) const
+LayerCoverage::MinCount(const LayerSpan& aSpan) const
 {
   int least = std::numeric_limits<int>::max();
   const auto end = static_cast<std::uint32_t>(
--- a/Source/Routing/LayerCoverage.h
+++ b/Source/Routing/LayerCoverage.h
@@ -21,9 +21,9 @@
 
   int CountOf(std::uint32_t aLayer) const { return m_counts[aLayer]; }
   // The first run of layers that the fewest engines hold.
-  LayerSpan FindLeast() const;
+  LayerSpan FindLeastCovered() const;
   // Of the layer that the fewest engines hold.
-  int LeastOf(const LayerSpan& aSpan) const;
+  int MinCount(const LayerSpan& aSpan) const;
   // The span without layers at its ends that others hold too, shortened to
   // aLength layers where it can be.
   LayerSpan Trim(LayerSpan aSpan, std::uint32_t aLength) const;
--- a/Source/Routing/LayerLayout.cxx
+++ b/Source/Routing/LayerLayout.cxx
@@ -15,23 +15,23 @@
 
 constexpr double kBytesPerMb = 1e6;
 // Rooms that are tried, as parts of the wanted one.
-constexpr int kRoomSteps = 16;
-// A shift that leaves more room for requests may cost so many times what the
-// cheapest one does.
-constexpr double kDearestShift = 2;
+constexpr int kKvCapacitySteps = 16;
+// A shift that leaves more kvCapacity for requests may cost so many times what
+// the cheapest one does.
+constexpr double kMaxShiftCostFactor = 2;
 
-// Layers that an engine holds beside room for that many tokens.
+// Layers that an engine holds beside kvCapacity for that many tokens.
 std::uint32_t
-CountLayers(const LayeredModel& aModel,
-            const LayoutHost& aHost,
-            double aRoomTokens)
+MaxLayerCount(const LayeredModel& aModel,
+              const LayoutHost& aHost,
+              double aKvCapacityTokens)
 {
   const AcceleratorKind* kind = aModel.FindKind(aHost.m_kind);
   if (kind == nullptr || aModel.m_layerMb <= 0 || aModel.m_layers == 0) {
     return 0;
   }
   const double requestMb =
-    aModel.m_tokenBytes / aModel.m_layers * aRoomTokens / kBytesPerMb;
+    aModel.m_tokenBytes / aModel.m_layers * aKvCapacityTokens / kBytesPerMb;
   const double count =
     std::floor(kind->m_memoryMb / (aModel.m_layerMb + requestMb));
   return static_cast<std::uint32_t>(
@@ -39,13 +39,13 @@
 }
 
 std::uint64_t
-SumLayers(const LayeredModel& aModel,
-          const std::vector<LayoutHost>& aHosts,
-          double aRoomTokens)
+TotalLayerCapacity(const LayeredModel& aModel,
+                   const std::vector<LayoutHost>& aHosts,
+                   double aKvCapacityTokens)
 {
   std::uint64_t sum = 0;
   for (const LayoutHost& host : aHosts) {
-    sum += CountLayers(aModel, host, aRoomTokens);
+    sum += MaxLayerCount(aModel, host, aKvCapacityTokens);
   }
   return sum;
 }
@@ -53,11 +53,12 @@
 std::vector<ShiftHost>
 MakeShiftHosts(const LayeredModel& aModel,
                const std::vector<LayoutHost>& aHosts,
-               double aRoomTokens)
+               double aKvCapacityTokens)
 {
   std::vector<ShiftHost> hosts;
   for (const LayoutHost& host : aHosts) {
-    hosts.push_back({ host.m_holds, CountLayers(aModel, host, aRoomTokens) });
+    hosts.push_back(
+      { host.m_holds, MaxLayerCount(aModel, host, aKvCapacityTokens) });
   }
   return hosts;
 }
@@ -81,13 +82,14 @@
 }
 
 bool
-HoldsAll(const LayeredModel& aModel, const std::vector<LayoutHost>& aHosts)
+CoversAllLayers(const LayeredModel& aModel,
+                const std::vector<LayoutHost>& aHosts)
 {
-  return CountCoverage(aModel, aHosts).LeastOf({ 0, aModel.m_layers }) != 0;
+  return CountCoverage(aModel, aHosts).MinCount({ 0, aModel.m_layers }) != 0;
 }
 
 // What an engine can do about layers that nobody holds.
-struct Offer
+struct CoverageCandidate
 {
   LayerSpan m_span;
   // It gives up what it holds.
@@ -95,7 +97,8 @@
 
   // Growing goes before moving, which breaks off what passes through; the
   // later of two movers is of a slower kind.
-  bool IsBetter(const Offer& aOther, const LayerSpan& aGap) const
+  bool IsBetterThan(const CoverageCandidate& aOther,
+                    const LayerSpan& aUncovered) const
   {
     if (aOther.m_span.IsEmpty()) {
       return true;
@@ -103,34 +106,36 @@
     if (m_isMove != aOther.m_isMove) {
       return aOther.m_isMove;
     }
-    const std::uint32_t own = Overlap(m_span, aGap);
-    const std::uint32_t other = Overlap(aOther.m_span, aGap);
+    const std::uint32_t own = Overlap(m_span, aUncovered);
+    const std::uint32_t other = Overlap(aOther.m_span, aUncovered);
     return own > other || (own == other && m_isMove);
   }
 };
 
-Offer
-MakeOffer(const LayoutHost& aHost,
-          std::uint32_t aMost,
-          const LayerSpan& aGap,
-          const LayerCoverage& aCoverage)
+CoverageCandidate
+MakeCandidate(const LayoutHost& aHost,
+              std::uint32_t aMaxLayers,
+              const LayerSpan& aUncovered,
+              const LayerCoverage& aCoverage)
 {
   const LayerSpan& holds = aHost.m_holds;
-  if (holds.IsEmpty() || aMost == 0) {
+  if (holds.IsEmpty() || aMaxLayers == 0) {
     return {};
   }
   const std::uint32_t more =
-    aMost > holds.Length() ? aMost - holds.Length() : 0;
-  if (holds.m_end == aGap.m_first && more != 0) {
-    return { { holds.m_first, std::min(aGap.m_end, holds.m_end + more) },
+    aMaxLayers > holds.Length() ? aMaxLayers - holds.Length() : 0;
+  if (holds.m_end == aUncovered.m_first && more != 0) {
+    return { { holds.m_first, std::min(aUncovered.m_end, holds.m_end + more) },
              false };
   }
-  if (holds.m_first == aGap.m_end && more != 0) {
-    return { { holds.m_first - std::min(more, aGap.Length()), holds.m_end },
+  if (holds.m_first == aUncovered.m_end && more != 0) {
+    return { { holds.m_first - std::min(more, aUncovered.Length()),
+               holds.m_end },
              false };
   }
-  if (aCoverage.LeastOf(holds) > 1) {
-    return { { aGap.m_first, std::min(aGap.m_end, aGap.m_first + aMost) },
+  if (aCoverage.MinCount(holds) > 1) {
+    return { { aUncovered.m_first,
+               std::min(aUncovered.m_end, aUncovered.m_first + aMaxLayers) },
              true };
   }
   return {};
@@ -154,12 +159,14 @@
   Groups groups;
   std::vector<LayoutHost> rest;
   for (auto& [zone, hosts] : zones) {
-    if (SumLayers(aModel, hosts, m_settings.m_leastTokens) >= aModel.m_layers) {
+    if (TotalLayerCapacity(aModel, hosts, m_settings.m_minKvCapacityTokens) >=
+        aModel.m_layers) {
       groups.push_back(std::move(hosts));
       continue;
     }
     rest.insert(rest.end(), hosts.begin(), hosts.end());
-    if (SumLayers(aModel, rest, m_settings.m_leastTokens) >= aModel.m_layers) {
+    if (TotalLayerCapacity(aModel, rest, m_settings.m_minKvCapacityTokens) >=
+        aModel.m_layers) {
       groups.push_back(std::exchange(rest, {}));
     }
   }
@@ -175,65 +182,67 @@
 }
 
 double
-LayerLayout::ChooseRoom(const LayeredModel& aModel,
-                        const std::vector<LayoutHost>& aHosts) const
+LayerLayout::ChooseKvCapacity(const LayeredModel& aModel,
+                              const std::vector<LayoutHost>& aHosts) const
 {
-  for (int step = kRoomSteps; step > 0; --step) {
-    const double room = m_settings.m_roomTokens * step / kRoomSteps;
-    if (SumLayers(aModel, aHosts, room) >= aModel.m_layers) {
-      return room;
+  for (int step = kKvCapacitySteps; step > 0; --step) {
+    const double kvCapacity =
+      m_settings.m_kvCapacityTokens * step / kKvCapacitySteps;
+    if (TotalLayerCapacity(aModel, aHosts, kvCapacity) >= aModel.m_layers) {
+      return kvCapacity;
     }
   }
   return 0;
 }
 
 void
-LayerLayout::FillEmpty(const LayeredModel& aModel,
-                       std::vector<LayoutHost>& aHosts) const
+LayerLayout::AssignEmptyEngines(const LayeredModel& aModel,
+                                std::vector<LayoutHost>& aHosts) const
 {
-  const double room = ChooseRoom(aModel, aHosts);
+  const double kvCapacity = ChooseKvCapacity(aModel, aHosts);
   LayerCoverage coverage = CountCoverage(aModel, aHosts);
   for (LayoutHost& host : aHosts) {
-    const std::uint32_t most = CountLayers(aModel, host, room);
-    if (!host.m_holds.IsEmpty() || most == 0) {
+    const std::uint32_t maxLayers = MaxLayerCount(aModel, host, kvCapacity);
+    if (!host.m_holds.IsEmpty() || maxLayers == 0) {
       continue;
     }
-    LayerSpan span = coverage.FindLeast();
-    if (coverage.LeastOf(span) != 0) {
-      const LayerSpan relief = FindRelief(aModel, aHosts, most, room);
-      span = relief.IsEmpty() ? span : relief;
+    LayerSpan span = coverage.FindLeastCovered();
+    if (coverage.MinCount(span) != 0) {
+      const LayerSpan offload =
+        FindOffloadSpan(aModel, aHosts, maxLayers, kvCapacity);
+      span = offload.IsEmpty() ? span : offload;
     }
-    span.m_end = std::min(span.m_end, span.m_first + most);
+    span.m_end = std::min(span.m_end, span.m_first + maxLayers);
     coverage.Add(span);
     host.m_holds = span;
   }
 }
 
 LayerSpan
-LayerLayout::FindRelief(const LayeredModel& aModel,
-                        const std::vector<LayoutHost>& aHosts,
-                        std::uint32_t aMost,
-                        double aRoomTokens) const
+LayerLayout::FindOffloadSpan(const LayeredModel& aModel,
+                             const std::vector<LayoutHost>& aHosts,
+                             std::uint32_t aMaxLayers,
+                             double aKvCapacityTokens) const
 {
-  const auto hosts = MakeShiftHosts(aModel, aHosts, aRoomTokens);
-  const bool isTight =
+  const auto hosts = MakeShiftHosts(aModel, aHosts, aKvCapacityTokens);
+  const bool isOverloaded =
     std::any_of(hosts.begin(), hosts.end(), [](const ShiftHost& aHost) {
-      return aHost.m_holds.Length() > aHost.m_most;
+      return aHost.m_holds.Length() > aHost.m_maxLayers;
     });
-  if (!isTight || ShiftLayers(aModel.m_layers, hosts).m_cost == 0) {
+  if (!isOverloaded || ShiftLayers(aModel.m_layers, hosts).m_cost == 0) {
     return {};
   }
-  LayerSpan span = FindReliefPart(aModel.m_layers, hosts, aMost);
+  LayerSpan span = FindOffloadPart(aModel.m_layers, hosts, aMaxLayers);
   if (!span.IsEmpty()) {
     // What is left of its memory holds the layers that follow.
-    span.m_end = std::min(span.m_first + aMost, aModel.m_layers);
+    span.m_end = std::min(span.m_first + aMaxLayers, aModel.m_layers);
   }
   return span;
 }
 
 void
-LayerLayout::TrimOverfull(const LayeredModel& aModel,
-                          std::vector<LayoutHost>& aHosts) const
+LayerLayout::TrimOverloadedEngines(const LayeredModel& aModel,
+                                   std::vector<LayoutHost>& aHosts) const
 {
   const bool isLoading =
     std::any_of(aHosts.begin(), aHosts.end(), [](const LayoutHost& aHost) {
@@ -242,13 +251,13 @@
   if (isLoading) {
     return;
   }
-  const double room = ChooseRoom(aModel, aHosts);
+  const double kvCapacity = ChooseKvCapacity(aModel, aHosts);
   const LayerShift whole =
-    ShiftLayers(aModel.m_layers, MakeShiftHosts(aModel, aHosts, room));
+    ShiftLayers(aModel.m_layers, MakeShiftHosts(aModel, aHosts, kvCapacity));
   LayerCoverage coverage = CountCoverage(aModel, aHosts);
   for (std::size_t i = 0; i < aHosts.size(); ++i) {
     LayoutHost& host = aHosts[i];
-    const std::uint32_t fits = CountLayers(aModel, host, room);
+    const std::uint32_t fits = MaxLayerCount(aModel, host, kvCapacity);
     if (fits == 0 || host.m_holds.Length() <= fits) {
       continue;
     }
@@ -265,34 +274,35 @@
 void
 LayerLayout::PlanGroup(const LayeredModel& aModel,
                        const std::vector<LayoutHost>& aHosts,
-                       bool aMayReshape,
+                       bool aCanMoveBoundaries,
                        std::vector<LayoutOrder>& aOrders) const
 {
   std::vector<LayoutHost> planned = aHosts;
-  TrimOverfull(aModel, planned);
-  FillEmpty(aModel, planned);
+  TrimOverloadedEngines(aModel, planned);
+  AssignEmptyEngines(aModel, planned);
   const std::vector<LayoutHost> filled = planned;
   const bool isLoading =
     std::any_of(aHosts.begin(), aHosts.end(), [](const LayoutHost& aHost) {
       return aHost.m_isLoading;
     });
   if (!isLoading) {
-    CloseGap(aModel, planned);
+    CoverUncoveredLayers(aModel, planned);
   }
   const bool canHoldAll =
-    !isLoading && aMayReshape &&
-    SumLayers(aModel, aHosts, m_settings.m_leastTokens) >= aModel.m_layers;
-  if (!HoldsAll(aModel, planned)) {
-    // A gap that is not closed is as wide as before.
+    !isLoading && aCanMoveBoundaries &&
+    TotalLayerCapacity(aModel, aHosts, m_settings.m_minKvCapacityTokens) >=
+      aModel.m_layers;
+  if (!CoversAllLayers(aModel, planned)) {
+    // A uncovered that is not closed is as wide as before.
     planned = filled;
   }
-  if (!HoldsAll(aModel, planned) && canHoldAll &&
-      !ShiftBorders(aModel, planned)) {
-    // Nothing passes through a chain with a gap, so all may move.
+  if (!CoversAllLayers(aModel, planned) && canHoldAll &&
+      !ShiftBoundaries(aModel, planned)) {
+    // Nothing passes through a chain with a uncovered, so all may move.
     for (LayoutHost& host : planned) {
       host.m_holds = {};
     }
-    FillEmpty(aModel, planned);
+    AssignEmptyEngines(aModel, planned);
   }
   for (std::size_t i = 0; i < planned.size(); ++i) {
     if (planned[i].m_holds != aHosts[i].m_holds) {
@@ -303,25 +313,28 @@
 }
 
 bool
-LayerLayout::ShiftBorders(const LayeredModel& aModel,
-                          std::vector<LayoutHost>& aHosts) const
+LayerLayout::ShiftBoundaries(const LayeredModel& aModel,
+                             std::vector<LayoutHost>& aHosts) const
 {
-  const auto shiftAt = [&](double aRoomTokens) {
+  const auto shiftAt = [&](double aKvCapacityTokens) {
     return ShiftLayers(aModel.m_layers,
-                       MakeShiftHosts(aModel, aHosts, aRoomTokens));
+                       MakeShiftHosts(aModel, aHosts, aKvCapacityTokens));
   };
-  LayerShift best = shiftAt(m_settings.m_leastTokens);
+  LayerShift best = shiftAt(m_settings.m_minKvCapacityTokens);
   if (best.m_spans.empty()) {
     return false;
   }
-  const double most = static_cast<double>(best.m_cost) * kDearestShift;
-  for (int step = kRoomSteps; step > 0; --step) {
-    const double room = m_settings.m_roomTokens * step / kRoomSteps;
-    if (room <= m_settings.m_leastTokens) {
+  const double maxLayers =
+    static_cast<double>(best.m_cost) * kMaxShiftCostFactor;
+  for (int step = kKvCapacitySteps; step > 0; --step) {
+    const double kvCapacity =
+      m_settings.m_kvCapacityTokens * step / kKvCapacitySteps;
+    if (kvCapacity <= m_settings.m_minKvCapacityTokens) {
       break;
     }
-    LayerShift wider = shiftAt(room);
-    if (!wider.m_spans.empty() && static_cast<double>(wider.m_cost) <= most) {
+    LayerShift wider = shiftAt(kvCapacity);
+    if (!wider.m_spans.empty() &&
+        static_cast<double>(wider.m_cost) <= maxLayers) {
       best = std::move(wider);
       break;
     }
@@ -333,56 +346,59 @@
 }
 
 void
-LayerLayout::CloseGap(const LayeredModel& aModel,
-                      std::vector<LayoutHost>& aHosts) const
+LayerLayout::CoverUncoveredLayers(const LayeredModel& aModel,
+                                  std::vector<LayoutHost>& aHosts) const
 {
   for (std::size_t i = 0; i < aHosts.size(); ++i) {
     const LayerCoverage coverage = CountCoverage(aModel, aHosts);
-    const LayerSpan gap = coverage.FindLeast();
-    if (coverage.LeastOf(gap) != 0) {
+    const LayerSpan uncovered = coverage.FindLeastCovered();
+    if (coverage.MinCount(uncovered) != 0) {
       return;
     }
-    LayoutHost* helper = nullptr;
-    Offer best;
+    LayoutHost* chosen = nullptr;
+    CoverageCandidate best;
     for (LayoutHost& host : aHosts) {
-      const std::uint32_t most =
-        CountLayers(aModel, host, m_settings.m_leastTokens);
-      const Offer offer = MakeOffer(host, most, gap, coverage);
-      if (!offer.m_span.IsEmpty() && offer.IsBetter(best, gap)) {
-        helper = &host;
-        best = offer;
+      const std::uint32_t maxLayers =
+        MaxLayerCount(aModel, host, m_settings.m_minKvCapacityTokens);
+      const CoverageCandidate candidate =
+        MakeCandidate(host, maxLayers, uncovered, coverage);
+      if (!candidate.m_span.IsEmpty() &&
+          candidate.IsBetterThan(best, uncovered)) {
+        chosen = &host;
+        best = candidate;
       }
     }
-    if (helper == nullptr) {
+    if (chosen == nullptr) {
       return;
     }
-    helper->m_holds = best.m_span;
+    chosen->m_holds = best.m_span;
   }
 }
 
 std::vector<LayoutOrder>
 LayerLayout::Plan(const LayeredModel& aModel,
                   std::vector<LayoutHost> aHosts,
-                  bool aMayReshape) const
+                  bool aCanMoveBoundaries) const
 {
   std::vector<LayoutOrder> orders;
   if (aModel.m_layers == 0) {
     return orders;
   }
-  auto paceOf = [&](const LayoutHost& aHost) {
+  auto stepTimeFactorOf = [&](const LayoutHost& aHost) {
     const AcceleratorKind* kind = aModel.FindKind(aHost.m_kind);
     return kind == nullptr ? std::numeric_limits<double>::max()
-                           : kind->m_stepPace;
+                           : kind->m_stepTimeFactor;
   };
   std::sort(aHosts.begin(),
             aHosts.end(),
             [&](const LayoutHost& aLeft, const LayoutHost& aRight) {
-              return std::make_tuple(paceOf(aLeft), aLeft.m_kind, aLeft.m_id) <
+              return std::make_tuple(
+                       stepTimeFactorOf(aLeft), aLeft.m_kind, aLeft.m_id) <
                      std::make_tuple(
-                       paceOf(aRight), aRight.m_kind, aRight.m_id);
+                       stepTimeFactorOf(aRight), aRight.m_kind, aRight.m_id);
             });
   for (const auto& group : GroupByZone(aModel, aHosts)) {
-    PlanGroup(aModel, group, aMayReshape, orders);
+    PlanGroup(aModel, group, aCanMoveBoundaries, orders);
   }
   return orders;
 }
--- a/Source/Routing/LayerLayout.h
+++ b/Source/Routing/LayerLayout.h
@@ -42,9 +42,9 @@
   // has the memory, in tokens: 120 requests of 900 tokens. A zone's chain has
   // about 65 in progress at the daily rate, and half as many more when another
   // zone's chain is broken. What is left holds layers a second time.
-  double m_roomTokens = 110'000;
+  double m_kvCapacityTokens = 110'000;
   // The least room; zones that could not keep it are put together.
-  double m_leastTokens = 40'000;
+  double m_minKvCapacityTokens = 40'000;
 };
 
 // Every zone holds the whole model by itself where its memory allows: what
@@ -75,11 +75,11 @@
 public:
   explicit LayerLayout(LayoutSettings aSettings = {});
 
-  // aMayReshape: borders between engines may move. Not so soon after a loss:
-  // most engines come back within seconds.
+  // aCanMoveBoundaries: borders between engines may move. Not so soon after a
+  // loss: most engines come back within seconds.
   std::vector<LayoutOrder> Plan(const LayeredModel& aModel,
                                 std::vector<LayoutHost> aHosts,
-                                bool aMayReshape = true) const;
+                                bool aCanMoveBoundaries = true) const;
 
 private:
   // Zones whose engines make chains together.
@@ -89,27 +89,27 @@
                      const std::vector<LayoutHost>& aHosts) const;
   void PlanGroup(const LayeredModel& aModel,
                  const std::vector<LayoutHost>& aHosts,
-                 bool aMayReshape,
+                 bool aCanMoveBoundaries,
                  std::vector<LayoutOrder>& aOrders) const;
-  void FillEmpty(const LayeredModel& aModel,
-                 std::vector<LayoutHost>& aHosts) const;
+  void AssignEmptyEngines(const LayeredModel& aModel,
+                          std::vector<LayoutHost>& aHosts) const;
   // Layers of an engine that has less room for requests than the others; an
   // empty engine takes them over. Empty: there is none.
-  LayerSpan FindRelief(const LayeredModel& aModel,
-                       const std::vector<LayoutHost>& aHosts,
-                       std::uint32_t aMost,
-                       double aRoomTokens) const;
+  LayerSpan FindOffloadSpan(const LayeredModel& aModel,
+                            const std::vector<LayoutHost>& aHosts,
+                            std::uint32_t aMaxLayers,
+                            double aKvCapacityTokens) const;
   // Engines with too little room give up what others hold too.
-  void TrimOverfull(const LayeredModel& aModel,
-                    std::vector<LayoutHost>& aHosts) const;
-  void CloseGap(const LayeredModel& aModel,
-                std::vector<LayoutHost>& aHosts) const;
+  void TrimOverloadedEngines(const LayeredModel& aModel,
+                             std::vector<LayoutHost>& aHosts) const;
+  void CoverUncoveredLayers(const LayeredModel& aModel,
+                            std::vector<LayoutHost>& aHosts) const;
   // Borders between engines move; false: the engines cannot hold the model.
-  bool ShiftBorders(const LayeredModel& aModel,
-                    std::vector<LayoutHost>& aHosts) const;
+  bool ShiftBoundaries(const LayeredModel& aModel,
+                       std::vector<LayoutHost>& aHosts) const;
   // Most room at which the engines hold the whole model.
-  double ChooseRoom(const LayeredModel& aModel,
-                    const std::vector<LayoutHost>& aHosts) const;
+  double ChooseKvCapacity(const LayeredModel& aModel,
+                          const std::vector<LayoutHost>& aHosts) const;
 
   const LayoutSettings m_settings;
 };
--- a/Source/Routing/LayerPath.cxx
+++ b/Source/Routing/LayerPath.cxx
@@ -12,14 +12,14 @@
 constexpr double kUnreached = std::numeric_limits<double>::max();
 constexpr std::size_t kNone = std::numeric_limits<std::size_t>::max();
 
-// The best known way that ends before a layer on a given engine.
+// The best known way that ends previous a layer on a given engine.
 struct Arrival
 {
   double m_cost = kUnreached;
   std::size_t m_parts = 0;
-  // Where the last part began, and the engine of the part before it.
+  // Where the last part began, and the engine of the part previous it.
   std::uint32_t m_from = 0;
-  std::size_t m_before = kNone;
+  std::size_t m_previous = kNone;
 };
 
 class PathSearch
@@ -28,26 +28,26 @@
   PathSearch(std::uint32_t aLayers,
              const std::vector<PathHost>& aHosts,
              const PathCosts& aCosts,
-             const std::vector<bool>& aBarred)
+             const std::vector<bool>& aExcluded)
     : m_layers(aLayers)
     , m_hosts(aHosts)
     , m_costs(aCosts)
-    , m_barred(aBarred)
+    , m_excluded(aExcluded)
     , m_arrivals(aLayers + 1, std::vector<Arrival>(aHosts.size()))
   {
     for (const PathHost& host : aHosts) {
       if (host.m_penalty > 0) {
-        m_cuts.insert(std::min(host.m_holds.m_first, aLayers));
-        m_cuts.insert(std::min(host.m_holds.m_end, aLayers));
+        m_boundaries.insert(std::min(host.m_holds.m_first, aLayers));
+        m_boundaries.insert(std::min(host.m_holds.m_end, aLayers));
       }
     }
-    m_cuts.insert(0);
-    m_cuts.insert(aLayers);
+    m_boundaries.insert(0);
+    m_boundaries.insert(aLayers);
   }
 
   std::vector<PathPart> Find()
   {
-    for (const std::uint32_t from : m_cuts) {
+    for (const std::uint32_t from : m_boundaries) {
       for (std::size_t host = 0; host < m_hosts.size(); ++host) {
         if (Covers(host, from)) {
           Extend(host, from);
@@ -61,7 +61,7 @@
   bool Covers(std::size_t aHost, std::uint32_t aLayer) const
   {
     const PathHost& host = m_hosts[aHost];
-    return host.m_penalty > 0 && !m_barred[aHost] &&
+    return host.m_penalty > 0 && !m_excluded[aHost] &&
            host.m_holds.m_first <= aLayer && aLayer < host.m_holds.m_end;
   }
 
@@ -72,8 +72,8 @@
   }
 
   // The cheapest engine to come from, with the cost up to and with the hop.
-  std::pair<std::size_t, double> FindBefore(std::size_t aHost,
-                                            std::uint32_t aFrom) const
+  std::pair<std::size_t, double> FindPredecessor(std::size_t aHost,
+                                                 std::uint32_t aFrom) const
   {
     std::pair<std::size_t, double> best{ kNone, kUnreached };
     for (std::size_t i = 0; i < m_hosts.size(); ++i) {
@@ -89,24 +89,24 @@
 
   void Extend(std::size_t aHost, std::uint32_t aFrom)
   {
-    std::pair<std::size_t, double> before{ kNone, 0 };
+    std::pair<std::size_t, double> previous{ kNone, 0 };
     if (aFrom != 0) {
-      before = FindBefore(aHost, aFrom);
-      if (before.first == kNone) {
+      previous = FindPredecessor(aHost, aFrom);
+      if (previous.first == kNone) {
         return;
       }
     }
     const PathHost& host = m_hosts[aHost];
     const double perLayer = host.m_stepMs * host.m_penalty / m_layers;
-    for (auto cut = m_cuts.upper_bound(aFrom);
-         cut != m_cuts.end() && *cut <= host.m_holds.m_end;
-         ++cut) {
-      const double cost = before.second + perLayer * (*cut - aFrom);
-      Arrival& arrival = m_arrivals[*cut][aHost];
+    for (auto boundary = m_boundaries.upper_bound(aFrom);
+         boundary != m_boundaries.end() && *boundary <= host.m_holds.m_end;
+         ++boundary) {
+      const double cost = previous.second + perLayer * (*boundary - aFrom);
+      Arrival& arrival = m_arrivals[*boundary][aHost];
       if (cost < arrival.m_cost) {
         const std::size_t parts =
-          aFrom == 0 ? 0 : m_arrivals[aFrom][before.first].m_parts;
-        arrival = { cost, parts + 1, aFrom, before.first };
+          aFrom == 0 ? 0 : m_arrivals[aFrom][previous.first].m_parts;
+        arrival = { cost, parts + 1, aFrom, previous.first };
       }
     }
   }
@@ -130,7 +130,7 @@
       const Arrival& arrival = m_arrivals[end][host];
       parts.push_back({ host, { arrival.m_from, end } });
       end = arrival.m_from;
-      host = arrival.m_before;
+      host = arrival.m_previous;
     }
     std::reverse(parts.begin(), parts.end());
     return parts;
@@ -139,10 +139,10 @@
   const std::uint32_t m_layers;
   const std::vector<PathHost>& m_hosts;
   const PathCosts& m_costs;
-  const std::vector<bool>& m_barred;
+  const std::vector<bool>& m_excluded;
   // Layers at which some engine's range begins or ends.
-  std::set<std::uint32_t> m_cuts;
-  // By the layer before which a part ends, and the engine of that part.
+  std::set<std::uint32_t> m_boundaries;
+  // By the layer previous which a part ends, and the engine of that part.
   std::vector<std::vector<Arrival>> m_arrivals;
 };
 
@@ -167,15 +167,15 @@
               const std::vector<PathHost>& aHosts,
               const PathCosts& aCosts)
 {
-  std::vector<bool> barred(aHosts.size(), false);
+  std::vector<bool> excluded(aHosts.size(), false);
   for (std::size_t i = 0; aLayers != 0 && i <= aHosts.size(); ++i) {
     std::vector<PathPart> path =
-      PathSearch(aLayers, aHosts, aCosts, barred).Find();
+      PathSearch(aLayers, aHosts, aCosts, excluded).Find();
     const std::size_t detour = FindDetour(path);
     if (detour == kNone) {
       return path;
     }
-    barred[detour] = true;
+    excluded[detour] = true;
   }
   return {};
 }
--- a/Source/Routing/LayerShift.cxx
+++ b/Source/Routing/LayerShift.cxx
@@ -21,7 +21,7 @@
 }
 
 // Cheapest way by which the hosts so far hold the layers up to a border.
-struct Reach
+struct PrefixAssignment
 {
   std::uint64_t m_cost = kUnreached;
   // Where the last host's part begins.
@@ -37,37 +37,37 @@
 
 // Cheapest parts in this order of the hosts.
 Parts
-Divide(std::uint32_t aLayers, const std::vector<ShiftHost>& aOrdered)
+Partition(std::uint32_t aLayers, const std::vector<ShiftHost>& aOrdered)
 {
-  std::vector<std::vector<Reach>> reach(aOrdered.size() + 1,
-                                        std::vector<Reach>(aLayers + 1));
-  reach[0][0].m_cost = 0;
+  std::vector<std::vector<PrefixAssignment>> prefix(
+    aOrdered.size() + 1, std::vector<PrefixAssignment>(aLayers + 1));
+  prefix[0][0].m_cost = 0;
   for (std::size_t i = 0; i < aOrdered.size(); ++i) {
     const ShiftHost& host = aOrdered[i];
     for (std::uint32_t from = 0; from <= aLayers; ++from) {
-      if (reach[i][from].m_cost == kUnreached) {
+      if (prefix[i][from].m_cost == kUnreached) {
         continue;
       }
-      const std::uint32_t last = std::min(aLayers, from + host.m_most);
+      const std::uint32_t last = std::min(aLayers, from + host.m_maxLayers);
       for (std::uint32_t end = from; end <= last; ++end) {
         const std::uint64_t loads =
           host.m_isFree ? 0 : end - from - Overlap({ from, end }, host.m_holds);
-        const std::uint64_t cost = reach[i][from].m_cost + loads * loads;
-        if (cost < reach[i + 1][end].m_cost) {
-          reach[i + 1][end] = { cost, from };
+        const std::uint64_t cost = prefix[i][from].m_cost + loads * loads;
+        if (cost < prefix[i + 1][end].m_cost) {
+          prefix[i + 1][end] = { cost, from };
         }
       }
     }
   }
   Parts parts;
-  parts.m_cost = reach[aOrdered.size()][aLayers].m_cost;
+  parts.m_cost = prefix[aOrdered.size()][aLayers].m_cost;
   if (parts.m_cost == kUnreached) {
     return parts;
   }
   parts.m_parts.resize(aOrdered.size());
   std::uint32_t end = aLayers;
   for (std::size_t i = aOrdered.size(); i-- > 0;) {
-    parts.m_parts[i] = { reach[i + 1][end].m_from, end };
+    parts.m_parts[i] = { prefix[i + 1][end].m_from, end };
     end = parts.m_parts[i].m_first;
   }
   return parts;
@@ -75,11 +75,11 @@
 
 // The part, and as many of the host's present layers as fit beside it.
 LayerSpan
-Widen(const LayerSpan& aPart, const ShiftHost& aHost)
+IncludeHeldLayers(const LayerSpan& aPart, const ShiftHost& aHost)
 {
   const LayerSpan& holds = aHost.m_holds;
   if (Overlap(aPart, holds) == aPart.Length() &&
-      holds.Length() <= aHost.m_most) {
+      holds.Length() <= aHost.m_maxLayers) {
     return holds;
   }
   const bool touches =
@@ -88,12 +88,12 @@
     return aPart;
   }
   LayerSpan span = aPart;
-  std::uint32_t room = aHost.m_most - span.Length();
+  std::uint32_t spare = aHost.m_maxLayers - span.Length();
   const std::uint32_t before =
-    std::min(room, span.m_first - std::min(span.m_first, holds.m_first));
+    std::min(spare, span.m_first - std::min(span.m_first, holds.m_first));
   span.m_first -= before;
-  room -= before;
-  span.m_end += std::min(room, std::max(span.m_end, holds.m_end) - span.m_end);
+  spare -= before;
+  span.m_end += std::min(spare, std::max(span.m_end, holds.m_end) - span.m_end);
   return span;
 }
 
@@ -118,8 +118,8 @@
 }
 
 std::vector<ShiftHost>
-PutInOrder(const std::vector<ShiftHost>& aHosts,
-           const std::vector<std::size_t>& aOrder)
+Reorder(const std::vector<ShiftHost>& aHosts,
+        const std::vector<std::size_t>& aOrder)
 {
   std::vector<ShiftHost> ordered;
   for (const std::size_t place : aOrder) {
@@ -134,7 +134,7 @@
 ShiftLayers(std::uint32_t aLayers, const std::vector<ShiftHost>& aHosts)
 {
   const std::vector<std::size_t> order = OrderHosts(aHosts);
-  const Parts parts = Divide(aLayers, PutInOrder(aHosts, order));
+  const Parts parts = Partition(aLayers, Reorder(aHosts, order));
   LayerShift shift;
   shift.m_cost = parts.m_cost;
   if (parts.m_parts.empty()) {
@@ -143,23 +143,24 @@
   shift.m_spans.resize(aHosts.size());
   for (std::size_t i = 0; i < order.size(); ++i) {
     const ShiftHost& host = aHosts[order[i]];
-    shift.m_spans[order[i]] =
-      parts.m_parts[i].IsEmpty() ? host.m_holds : Widen(parts.m_parts[i], host);
+    shift.m_spans[order[i]] = parts.m_parts[i].IsEmpty()
+                                ? host.m_holds
+                                : IncludeHeldLayers(parts.m_parts[i], host);
   }
   return shift;
 }
 
 LayerSpan
-FindReliefPart(std::uint32_t aLayers,
-               const std::vector<ShiftHost>& aHosts,
-               std::uint32_t aMost)
+FindOffloadPart(std::uint32_t aLayers,
+                const std::vector<ShiftHost>& aHosts,
+                std::uint32_t aMaxLayers)
 {
-  const auto sorted = PutInOrder(aHosts, OrderHosts(aHosts));
+  const auto sorted = Reorder(aHosts, OrderHosts(aHosts));
   for (std::size_t place = 0; place <= sorted.size(); ++place) {
     std::vector<ShiftHost> hosts = sorted;
     hosts.insert(hosts.begin() + static_cast<std::ptrdiff_t>(place),
-                 { {}, aMost, true });
-    const Parts parts = Divide(aLayers, hosts);
+                 { {}, aMaxLayers, true });
+    const Parts parts = Partition(aLayers, hosts);
     if (parts.m_cost == 0 && !parts.m_parts[place].IsEmpty()) {
       return parts.m_parts[place];
     }
--- a/Source/Routing/LayerShift.h
+++ b/Source/Routing/LayerShift.h
@@ -26,7 +26,7 @@
   // Empty: it takes no part, unless it is free.
   LayerSpan m_holds;
   // Most layers that it may hold.
-  std::uint32_t m_most = 0;
+  std::uint32_t m_maxLayers = 0;
   // Holds nothing and takes any part; what it loads costs nothing.
   bool m_isFree = false;
 };
@@ -46,8 +46,8 @@
 // The part that a free host takes so that all others can keep to their most
 // without loading anything; empty: there is none.
 LayerSpan
-FindReliefPart(std::uint32_t aLayers,
-               const std::vector<ShiftHost>& aHosts,
-               std::uint32_t aMost);
+FindOffloadPart(std::uint32_t aLayers,
+                const std::vector<ShiftHost>& aHosts,
+                std::uint32_t aMaxLayers);
 
 } // namespace parsleycove
--- a/Source/Routing/LinkCosts.cxx
+++ b/Source/Routing/LinkCosts.cxx
@@ -4,7 +4,7 @@
 namespace parsleycove {
 
 Duration
-LinkCosts::OneWay(const std::string& aFrom, const std::string& aTo) const
+LinkCosts::OneWayLatency(const std::string& aFrom, const std::string& aTo) const
 {
   if (const auto found = m_pairs.find({ aFrom, aTo }); found != m_pairs.end()) {
     return found->second;
--- a/Source/Routing/LinkCosts.h
+++ b/Source/Routing/LinkCosts.h
@@ -15,7 +15,7 @@
   // Every stage answers to the gateway, which sends on.
   Relayed,
   // Each stage sends to the next one itself.
-  HandedOn,
+  Direct,
 };
 
 // One-way times by pair of zones.
@@ -26,7 +26,8 @@
   // Pairs that differ from the two above; either order is found.
   std::map<std::pair<std::string, std::string>, Duration> m_pairs;
 
-  Duration OneWay(const std::string& aFrom, const std::string& aTo) const;
+  Duration OneWayLatency(const std::string& aFrom,
+                         const std::string& aTo) const;
 };
 
 } // namespace parsleycove
--- /dev/null
+++ b/Source/Routing/PathSelector.cxx
@@ -0,0 +1,527 @@
+// The paths through a service's engines, and which one a request takes.
+#include "Routing/PathSelector.h"
+
+#include <algorithm>
+#include <set>
+#include <string_view>
+#include <utility>
+
+#include "Routing/Random.h"
+
+namespace parsleycove {
+
+namespace {
+
+// An engine of an earlier path costs this much more in the next one.
+constexpr double kReusePenalty = 8;
+constexpr double kBytesPerMb = 1e6;
+// About as long as a stream lasts: a VM of a large fleet hears of an engine's
+// load once in a second or two.
+constexpr double kStreamSeconds = 3;
+// Engines that differ by less than this are drawn from: the streams of all
+// gateways look for otherLoad at the same moment.
+constexpr double kRerouteSpread = 1;
+// Engines slower than this step in for no other one.
+constexpr double kMaxReplacementSlowdown = 2.5;
+// Engines read a prompt in parts, one with each step.
+constexpr double kTokensPerStep = 512;
+// A path that leaves its zone is taken only where no other one has kvCapacity.
+constexpr double kCrossingCost = 10;
+// A full path is none; more than all other costs together.
+constexpr double kFullCost = 1e6;
+
+double
+KvCapacityTokens(const LayeredModel& aModel, const Runner& aRunner)
+{
+  const AcceleratorKind* kind = aModel.FindKind(aRunner.m_accelerator);
+  if (kind == nullptr || aRunner.m_layerCount == 0 || aModel.m_layers == 0) {
+    return 0;
+  }
+  const double free =
+    kind->m_memoryMb - aModel.m_layerMb * aRunner.m_layerCount;
+  const double perToken =
+    aModel.m_tokenBytes / aModel.m_layers * aRunner.m_layerCount / kBytesPerMb;
+  return perToken > 0 ? std::max(0.0, free / perToken) : 0;
+}
+
+// Per token, for some layers on one engine.
+double
+PrefillMs(const LayeredModel& aModel,
+          const LayerSpan& aSpan,
+          const Runner& aRunner,
+          TimePoint aNow)
+{
+  const AcceleratorKind* kind = aModel.FindKind(aRunner.m_accelerator);
+  if (kind == nullptr || aModel.m_prefillTokensPerSecond <= 0 ||
+      aModel.m_layers == 0) {
+    return 0;
+  }
+  constexpr double kMsPerSecond = 1000;
+  const double share = static_cast<double>(aSpan.Length()) / aModel.m_layers;
+  const double prefillMs =
+    kind->m_prefillTimeFactor * kMsPerSecond / aModel.m_prefillTokensPerSecond;
+  const double step = kind->m_stepTimeFactor * aModel.m_stepMs / kTokensPerStep;
+  return share * (prefillMs + step) *
+         std::max(1.0, aRunner.m_load->Slowdown(aNow));
+}
+
+} // namespace
+
+bool
+StagePath::Uses(const std::string& aRunner) const
+{
+  return std::any_of(
+    m_stages.begin(), m_stages.end(), [&](const PathStage& aStage) {
+      return aStage.m_runner->m_id == aRunner;
+    });
+}
+
+std::string
+StagePath::Describe() const
+{
+  std::string text;
+  for (const PathStage& stage : m_stages) {
+    text.append(text.empty() ? "" : " ")
+      .append(stage.m_runner->m_id)
+      .append("=")
+      .append(std::to_string(stage.m_span.m_first))
+      .append("-")
+      .append(std::to_string(stage.m_span.m_end));
+  }
+  return text;
+}
+
+PathSelector::PathSelector(std::string aZone, PathSelectorSettings aSettings)
+  : m_zone(std::move(aZone))
+  , m_settings(aSettings)
+{
+}
+
+void
+PathSelector::SetEngines(const LayeredModel& aModel,
+                         const std::vector<RunnerPtr>& aEngines)
+{
+  m_model = aModel;
+  m_engines = aEngines;
+  Invalidate();
+}
+
+StagePathPtr
+PathSelector::MakePath(TimePoint aNow,
+                       const std::vector<PathHost>& aHosts,
+                       const std::vector<PathPart>& aParts) const
+{
+  boost::intrusive_ptr<StagePath> path(new StagePath());
+  for (const PathPart& part : aParts) {
+    const RunnerPtr& runner = m_engines[part.m_host];
+    const bool crosses =
+      !path->m_stages.empty() &&
+      path->m_stages.back().m_runner->m_zone != runner->m_zone;
+    path->m_crossings += crosses ? 1 : 0;
+    path->m_stages.push_back(
+      { runner, part.m_span, KvCapacityTokens(m_model, *runner) });
+    const double prefillMs = PrefillMs(m_model, part.m_span, *runner, aNow);
+    path->m_prefillMs = std::max(path->m_prefillMs, prefillMs);
+    path->m_totalPrefillMs += prefillMs;
+  }
+  path->m_stepMs =
+    EstimateStepMs(m_model.m_layers, aHosts, aParts, m_settings.m_costs);
+  return path;
+}
+
+void
+PathSelector::Plan(TimePoint aNow)
+{
+  m_plannedAt = aNow;
+  m_paths.clear();
+  std::vector<PathHost> hosts;
+  for (const RunnerPtr& runner : m_engines) {
+    const AcceleratorKind* kind = m_model.FindKind(runner->m_accelerator);
+    PathHost host;
+    host.m_holds = { runner->m_firstLayer,
+                     runner->m_firstLayer + runner->m_layerCount };
+    host.m_zone = runner->m_zoneIndex;
+    const double stepTimeFactor = kind == nullptr ? 1 : kind->m_stepTimeFactor;
+    host.m_stepMs = m_model.m_stepMs * stepTimeFactor *
+                    std::max(1.0, runner->m_load->Slowdown(aNow));
+    host.m_penalty = IsUsable(aNow, *runner) ? 1 : 0;
+    hosts.push_back(host);
+  }
+  const std::size_t most = m_settings.m_paths;
+  for (std::size_t i = 0; i < most; ++i) {
+    const auto parts =
+      FindLayerPath(m_model.m_layers, hosts, m_settings.m_costs);
+    if (parts.empty()) {
+      break;
+    }
+    m_paths.push_back(MakePath(aNow, hosts, parts));
+    for (const PathPart& part : parts) {
+      hosts[part.m_host].m_penalty *= kReusePenalty;
+    }
+  }
+}
+
+bool
+PathSelector::IsUsable(TimePoint aNow, const Runner& aRunner) const
+{
+  return m_model.FindKind(aRunner.m_accelerator) != nullptr &&
+         aRunner.m_layerCount != 0 && !aRunner.m_load->IsEjected(aNow) &&
+         aRunner.m_load->Circuit(aNow) == CircuitState::Closed;
+}
+
+std::vector<PathHost>
+PathSelector::MakeReplacementHosts(TimePoint aNow,
+                                   const LayerSpan& aUncovered,
+                                   const StagePath& aFailedPath,
+                                   const RerouteRequest& aRequest) const
+{
+  const std::uint32_t zone = aFailedPath.First().m_zoneIndex;
+  const double part =
+    static_cast<double>(aUncovered.Length()) / m_model.m_layers;
+  std::vector<PathHost> hosts;
+  for (const RunnerPtr& runner : m_engines) {
+    PathHost& host = hosts.emplace_back();
+    const std::uint32_t first =
+      std::max(runner->m_firstLayer, aUncovered.m_first);
+    const std::uint32_t end =
+      std::min(runner->m_firstLayer + runner->m_layerCount, aUncovered.m_end);
+    const auto& excluded = aRequest.m_excluded;
+    const bool isExcluded =
+      aFailedPath.Uses(runner->m_id) ||
+      std::find(excluded.begin(), excluded.end(), runner->m_id) !=
+        excluded.end();
+    const double kvCapacity = KvCapacityTokens(m_model, *runner);
+    const double reserved =
+      runner->m_load->ReservedTokens() + aRequest.m_tokens;
+    const bool isSlow =
+      runner->m_load->Slowdown(aNow) > kMaxReplacementSlowdown;
+    if (first >= end || isExcluded || isSlow || !IsUsable(aNow, *runner) ||
+        reserved > kvCapacity) {
+      host.m_penalty = 0;
+      continue;
+    }
+    host.m_holds = { first - aUncovered.m_first, end - aUncovered.m_first };
+    host.m_zone = runner->m_zoneIndex;
+    // Reading the tokens so far takes longest.
+    const AcceleratorKind* kind = m_model.FindKind(runner->m_accelerator);
+    host.m_stepMs = kind->m_prefillTimeFactor *
+                    std::max(1.0, runner->m_load->Slowdown(aNow)) * part;
+    if (runner->m_zoneIndex != zone) {
+      host.m_stepMs += 2 * m_settings.m_costs.m_zoneHopMs;
+    }
+    Random draw(runner->m_idHash ^ aRequest.m_seed);
+    host.m_penalty =
+      (1 + reserved / kvCapacity) * (1 + kRerouteSpread * draw.Fraction());
+  }
+  return hosts;
+}
+
+StagePathPtr
+PathSelector::Reroute(TimePoint aNow,
+                      const StagePath& aFailedPath,
+                      const RerouteRequest& aRequest) const
+{
+  const auto isFailed = [&](const PathStage& aStage) {
+    const auto& excluded = aRequest.m_excluded;
+    return aStage.m_runner->m_load->Circuit(aNow) != CircuitState::Closed ||
+           std::find(excluded.begin(), excluded.end(), aStage.m_runner->m_id) !=
+             excluded.end();
+  };
+  if (isFailed(aFailedPath.m_stages.front())) {
+    return nullptr;
+  }
+  boost::intrusive_ptr<StagePath> path(new StagePath());
+  path->m_stepMs = aFailedPath.m_stepMs;
+  path->m_prefillMs = aFailedPath.m_prefillMs;
+  path->m_totalPrefillMs = aFailedPath.m_totalPrefillMs;
+  const auto& stages = aFailedPath.m_stages;
+  for (auto stage = stages.begin(); stage != stages.end();) {
+    const auto next = std::find_if_not(stage, stages.end(), isFailed);
+    if (next == stage) {
+      path->m_stages.push_back(*stage++);
+      continue;
+    }
+    const LayerSpan uncovered{ stage->m_span.m_first,
+                               (next - 1)->m_span.m_end };
+    const auto parts = FindLayerPath(
+      uncovered.Length(),
+      MakeReplacementHosts(aNow, uncovered, aFailedPath, aRequest),
+      m_settings.m_costs);
+    if (parts.empty()) {
+      return nullptr;
+    }
+    for (const PathPart& part : parts) {
+      const RunnerPtr& runner = m_engines[part.m_host];
+      if (path->Uses(runner->m_id)) {
+        return nullptr;
+      }
+      path->m_stages.push_back({ runner,
+                                 { part.m_span.m_first + uncovered.m_first,
+                                   part.m_span.m_end + uncovered.m_first },
+                                 KvCapacityTokens(m_model, *runner) });
+    }
+    stage = next;
+  }
+  for (std::size_t i = 1; i < path->m_stages.size(); ++i) {
+    const bool crosses = path->m_stages[i - 1].m_runner->m_zone !=
+                         path->m_stages[i].m_runner->m_zone;
+    path->m_crossings += crosses ? 1 : 0;
+  }
+  return path->m_stages.size() <= m_settings.m_costs.m_maxParts ? path
+                                                                : nullptr;
+}
+
+bool
+PathSelector::IsEjected(TimePoint aNow, const StagePath& aPath)
+{
+  return std::any_of(
+    aPath.m_stages.begin(), aPath.m_stages.end(), [&](const PathStage& aStage) {
+      return aStage.m_runner->m_load->IsEjected(aNow);
+    });
+}
+
+double
+PathSelector::FleetLoadFactor(TimePoint aNow,
+                              const StagePath& aPath,
+                              std::uint32_t aGateways)
+{
+  const RunnerLoad& first = *aPath.First().m_load;
+  return std::clamp(first.EstimateStreams(aNow, kStreamSeconds) /
+                      std::max(1, first.Streams()),
+                    1.0,
+                    2.0 * std::max(1U, aGateways));
+}
+
+PathUtilization
+PathSelector::ComputeUtilization(TimePoint aNow,
+                                 const StagePath& aPath,
+                                 const PathRequest& aRequest)
+{
+  // The first engine tells how many requests it has of all gateways.
+  const RunnerLoad& first = *aPath.First().m_load;
+  const double streams = first.EstimateStreams(aNow, kStreamSeconds);
+  const double share = FleetLoadFactor(aNow, aPath, aRequest.m_gateways);
+  const double slots =
+    std::max(1.0, static_cast<double>(aPath.First().m_slots));
+  const double pendingPrefill =
+    first.PendingPrefillTokens() * share + aRequest.m_promptTokens;
+  PathUtilization fill{
+    (streams + 1) / slots, nullptr, streams, pendingPrefill * aPath.m_prefillMs
+  };
+  for (const PathStage& stage : aPath.m_stages) {
+    const double reserved =
+      stage.m_runner->m_load->ReservedTokens() * share + aRequest.m_tokens;
+    const double part = reserved / std::max(1.0, stage.m_kvCapacityTokens);
+    if (part > fill.m_fraction) {
+      fill.m_fraction = part;
+      fill.m_bottleneck = stage.m_runner;
+    }
+  }
+  return fill;
+}
+
+PathChoice
+PathSelector::Choose(TimePoint aNow, const PathRequest& aRequest)
+{
+  if (aNow - m_plannedAt >= m_settings.m_replanInterval) {
+    Plan(aNow);
+  }
+  const double fastest = FastestStepMs(aNow, aRequest);
+  StagePathPtr best;
+  PathUtilization bestFill;
+  double least = 0;
+  for (const StagePathPtr& path : m_paths) {
+    if (!IsAllowed(aNow, *path, aRequest)) {
+      continue;
+    }
+    const PathUtilization whole = ComputeUtilization(aNow, *path, aRequest);
+    const double fill = whole.m_fraction;
+    const double slowdown = path->m_stepMs / fastest;
+    const bool isLocal = path->m_crossings == 0;
+    const bool missesGapTarget = IsMissingGapTarget(aNow, *path, aRequest);
+    if (aRequest.m_restartSeed == 0 && isLocal && !missesGapTarget &&
+        path->First().m_zone == m_zone &&
+        fill <= m_settings.m_ownZoneUtilizationLimit &&
+        whole.m_prefillBacklogMs <= m_settings.m_ownZoneBacklogLimitMs &&
+        slowdown <= m_settings.m_ownZoneSlowdownLimit) {
+      return { path, false, whole };
+    }
+    const double cost = Cost(*path, whole, fastest) +
+                        SampleConcurrentCost(aNow, *path, aRequest) +
+                        (missesGapTarget ? m_settings.m_gapTargetMissCost : 0);
+    if (!best || cost < least) {
+      best = path;
+      bestFill = whole;
+      least = cost;
+    }
+  }
+  const bool isFull =
+    best && bestFill.m_fraction > m_settings.m_utilizationLimit;
+  return { isFull ? nullptr : best, isFull, bestFill };
+}
+
+double
+PathSelector::Cost(const StagePath& aPath,
+                   const PathUtilization& aUtilization,
+                   double aFastestStepMs) const
+{
+  // A stream stays longer on a slow path, so the same fill is worth less.
+  double cost = aUtilization.m_fraction * aPath.m_stepMs / aFastestStepMs +
+                aUtilization.m_prefillBacklogMs / m_settings.m_prefillBacklogMs;
+  if (aPath.m_crossings != 0) {
+    cost += kCrossingCost;
+  }
+  if (aUtilization.m_fraction > m_settings.m_utilizationLimit) {
+    cost += kFullCost;
+  }
+  return cost;
+}
+
+bool
+PathSelector::IsMissingGapTarget(TimePoint aNow,
+                                 const StagePath& aPath,
+                                 const PathRequest& aRequest)
+{
+  return aRequest.m_gapTarget != Duration::zero() &&
+         aPath.First().m_load->EventGap(aNow) > aRequest.m_gapTarget;
+}
+
+double
+PathSelector::SampleConcurrentCost(TimePoint aNow,
+                                   const StagePath& aPath,
+                                   const PathRequest& aRequest) const
+{
+  if (aRequest.m_restartSeed == 0) {
+    return 0;
+  }
+  const double otherLoad =
+    FleetLoadFactor(aNow, aPath, aRequest.m_gateways) - 1;
+  Random draw(aPath.First().m_idHash ^ aRequest.m_restartSeed);
+  return draw.Fraction() * otherLoad * aRequest.m_promptTokens *
+         aPath.m_prefillMs / m_settings.m_prefillBacklogMs;
+}
+
+RerouteLoad
+PathSelector::EstimateRerouteLoad(TimePoint aNow,
+                                  const StagePath& aFailedPath,
+                                  const StagePath& aRerouted,
+                                  std::uint32_t aTokens)
+{
+  if (aNow - m_plannedAt >= m_settings.m_replanInterval) {
+    Plan(aNow);
+  }
+  RerouteLoad load;
+  load.m_streams =
+    aFailedPath.First().m_load->EstimateStreams(aNow, kStreamSeconds);
+  for (const PathStage& stage : aRerouted.m_stages) {
+    if (!aFailedPath.Uses(stage.m_runner->m_id)) {
+      const double prefillMs =
+        PrefillMs(m_model, stage.m_span, *stage.m_runner, aNow);
+      load.m_replacementPrefillMs =
+        std::max(load.m_replacementPrefillMs, aTokens * prefillMs);
+    }
+  }
+  std::set<std::string_view> firsts;
+  for (const StagePathPtr& path : m_paths) {
+    const bool isOther = path->m_crossings == 0 && !IsEjected(aNow, *path) &&
+                         path->First().m_id != aFailedPath.First().m_id;
+    if (isOther && firsts.insert(path->First().m_id).second) {
+      load.m_restartPrefillMs =
+        std::max(load.m_restartPrefillMs, aTokens * path->m_prefillMs);
+      load.m_pathPrefillMs =
+        std::max(load.m_pathPrefillMs, aTokens * path->m_totalPrefillMs);
+    }
+  }
+  load.m_paths = firsts.size();
+  return load;
+}
+
+double
+PathSelector::FastestStepMs(TimePoint aNow, const PathRequest& aRequest) const
+{
+  double fastest = 0;
+  for (const StagePathPtr& path : m_paths) {
+    const bool counts =
+      path->m_crossings == 0 && IsAllowed(aNow, *path, aRequest);
+    if (counts && (fastest == 0 || path->m_stepMs < fastest)) {
+      fastest = path->m_stepMs;
+    }
+  }
+  constexpr double kAnyStepMs = 1;
+  return fastest > 0 ? fastest : kAnyStepMs;
+}
+
+bool
+PathSelector::IsAllowed(TimePoint aNow,
+                        const StagePath& aPath,
+                        const PathRequest& aRequest)
+{
+  const bool isExcluded =
+    std::any_of(aRequest.m_excluded.begin(),
+                aRequest.m_excluded.end(),
+                [&](const std::string& aId) { return aPath.Uses(aId); });
+  return !isExcluded && !IsEjected(aNow, aPath) &&
+         (!aRequest.m_isAllowed || aRequest.m_isAllowed(aPath));
+}
+
+PathReservation::PathReservation(StagePathPtr aPath,
+                                 std::uint32_t aTokens,
+                                 std::uint32_t aPendingPrefill)
+  : m_path(std::move(aPath))
+  , m_tokens(aTokens)
+  , m_pendingPrefill(aPendingPrefill)
+{
+  Add(1);
+}
+
+PathReservation::~PathReservation()
+{
+  Add(-1);
+}
+
+PathReservation::PathReservation(PathReservation&& aOther) noexcept
+  : m_path(std::move(aOther.m_path))
+  , m_tokens(aOther.m_tokens)
+  , m_pendingPrefill(aOther.m_pendingPrefill)
+{
+  aOther.m_path = nullptr;
+}
+
+PathReservation&
+PathReservation::operator=(PathReservation&& aOther) noexcept
+{
+  if (this != &aOther) {
+    Add(-1);
+    m_path = std::move(aOther.m_path);
+    m_tokens = aOther.m_tokens;
+    m_pendingPrefill = aOther.m_pendingPrefill;
+    aOther.m_path = nullptr;
+  }
+  return *this;
+}
+
+void
+PathReservation::MarkPrefillDone()
+{
+  if (m_path && m_pendingPrefill != 0) {
+    m_path->First().m_load->AddPendingPrefill(
+      -static_cast<std::int32_t>(m_pendingPrefill));
+    m_pendingPrefill = 0;
+  }
+}
+
+void
+PathReservation::Add(std::int32_t aSign) const
+{
+  if (!m_path) {
+    return;
+  }
+  m_path->First().m_load->AddPendingPrefill(
+    aSign * static_cast<std::int32_t>(m_pendingPrefill));
+  for (const PathStage& stage : m_path->m_stages) {
+    stage.m_runner->m_load->ReserveTokens(aSign *
+                                          static_cast<std::int32_t>(m_tokens));
+  }
+}
+
+} // namespace parsleycove
--- a/Source/Routing/PathBook.h
+++ b/Source/Routing/PathSelector.h
@@ -13,7 +13,7 @@
 #include <boost/smart_ptr/intrusive_ref_counter.hpp>
 
 #include "Routing/LayerPath.h"
-#include "Routing/RepairShare.h"
+#include "Routing/RerouteShare.h"
 #include "Routing/Runner.h"
 
 namespace parsleycove {
@@ -23,7 +23,7 @@
   RunnerPtr m_runner;
   LayerSpan m_span;
   // Room for requests beside the layers, in tokens.
-  double m_tokenRoom = 0;
+  double m_kvCapacityTokens = 0;
 };
 
 // A way through all layers.
@@ -37,8 +37,8 @@
   double m_stepMs = 0;
   // What the slowest stage takes to read one token of a prompt, and all stages
   // together.
-  double m_readMs = 0;
-  double m_wholeReadMs = 0;
+  double m_prefillMs = 0;
+  double m_totalPrefillMs = 0;
   // How often it passes from one availability zone to another.
   std::size_t m_crossings = 0;
 
@@ -64,13 +64,13 @@
   std::uint32_t m_promptTokens = 0;
   // Of a stream that begins anew; 0: a new request. The other gateways' streams
   // do so at the same moment, so the seed spreads them.
-  std::uint64_t m_resumeSeed = 0;
+  std::uint64_t m_restartSeed = 0;
   // Most time between two events; zero: no target.
   Duration m_gapTarget{};
 };
 
 // A stream whose path has lost stages.
-struct RepairRequest
+struct RerouteRequest
 {
   // Tokens to be read again by the engines that step in.
   std::uint32_t m_tokens = 0;
@@ -81,18 +81,18 @@
 };
 
 // How far a path is filled, with what decided it.
-struct PathFill
+struct PathUtilization
 {
   // Of the tightest engine's room for tokens, or of the first one's slots;
   // 1: full.
-  double m_part = 0;
+  double m_fraction = 0;
   // Null: the first engine's slots decide.
-  RunnerPtr m_tightest;
+  RunnerPtr m_bottleneck;
   // Streams of all gateways through the first engine, as far as known here.
   double m_streams = 0;
   // Until the prompts of all gateways have been read, this one's included, as
   // far as known here.
-  double m_readingMs = 0;
+  double m_prefillBacklogMs = 0;
 };
 
 struct PathChoice
@@ -102,41 +102,42 @@
   // Paths exist, but every one is full.
   bool m_isFull = false;
   // Of the path that was taken or that came next.
-  PathFill m_fill;
+  PathUtilization m_utilization;
 };
 
-struct PathBookSettings
+struct PathSelectorSettings
 {
   std::size_t m_paths = 6;
   // Paths whose streams miss the target for pauses are taken where the others
   // are full: an answer in time is worth about twice a late one.
-  double m_lateCost = 5;
+  double m_gapTargetMissCost = 5;
   // A path within the own zone is used up to this fill; then the least filled
   // within any zone; then the least filled of all.
-  double m_ownZoneFill = 0.6;
+  double m_ownZoneUtilizationLimit = 0.6;
   // The same for the prompts that wait to be read: half of the users' target
   // for the first event.
-  double m_ownZoneReadingMs = 250;
+  double m_ownZoneBacklogLimitMs = 250;
   // Prompts that take so long to read weigh as much as a path's whole room: a
   // stream that begins anew misses its target for pauses after 200 ms, half of
   // which is gone by then.
-  double m_readingMs = 100;
+  double m_prefillBacklogMs = 100;
   // The own zone's path is passed over where another zone's is faster by more
   // than this: an engine on it has slowed down.
-  double m_ownZoneSlowness = 1.6;
+  double m_ownZoneSlowdownLimit = 1.6;
   // Part of the room and of the slots that new requests may fill; answers grow
   // beyond their expected length.
-  double m_fillLimit = 0.95;
+  double m_utilizationLimit = 0.95;
   // Paths are planned again this often while circuits may have changed.
-  Duration m_refresh = std::chrono::milliseconds(200);
+  Duration m_replanInterval = std::chrono::milliseconds(200);
   PathCosts m_costs;
 };
 
 // Used by one thread.
-class PathBook
+class PathSelector
 {
 public:
-  explicit PathBook(std::string aZone = {}, PathBookSettings aSettings = {});
+  explicit PathSelector(std::string aZone = {},
+                        PathSelectorSettings aSettings = {});
 
   // The engines of the service, with the model that they hold in ranges.
   void SetEngines(const LayeredModel& aModel,
@@ -150,25 +151,26 @@
   // The path with other engines for its lost stages; sound stages keep their
   // layers, and with them what they hold of the request. Null: the first stage
   // is lost, or some layers have no other engine.
-  StagePathPtr Repair(TimePoint aNow,
-                      const StagePath& aBroken,
-                      const RepairRequest& aRequest) const;
+  StagePathPtr Reroute(TimePoint aNow,
+                       const StagePath& aFailedPath,
+                       const RerouteRequest& aRequest) const;
 
-  // What decides whether a stream takes aRepaired or begins anew.
-  RepairLoad WeighRepair(TimePoint aNow,
-                         const StagePath& aBroken,
-                         const StagePath& aRepaired,
-                         std::uint32_t aTokens);
+  // What decides whether a stream takes aRerouted or begins anew.
+  RerouteLoad EstimateRerouteLoad(TimePoint aNow,
+                                  const StagePath& aFailedPath,
+                                  const StagePath& aRerouted,
+                                  std::uint32_t aTokens);
 
 private:
   void Plan(TimePoint aNow);
   // Circuit closed, not shunned, and of a kind that the model knows.
   bool IsUsable(TimePoint aNow, const Runner& aRunner) const;
-  // As hosts for the layers of aGap alone, counted from 0.
-  std::vector<PathHost> MakeStandIns(TimePoint aNow,
-                                     const LayerSpan& aGap,
-                                     const StagePath& aBroken,
-                                     const RepairRequest& aRequest) const;
+  // As hosts for the layers of aUncovered alone, counted from 0.
+  std::vector<PathHost> MakeReplacementHosts(
+    TimePoint aNow,
+    const LayerSpan& aUncovered,
+    const StagePath& aFailedPath,
+    const RerouteRequest& aRequest) const;
   StagePathPtr MakePath(TimePoint aNow,
                         const std::vector<PathHost>& aHosts,
                         const std::vector<PathPart>& aParts) const;
@@ -179,30 +181,30 @@
                         const PathRequest& aRequest);
   // Less is better.
   double Cost(const StagePath& aPath,
-              const PathFill& aFill,
+              const PathUtilization& aUtilization,
               double aFastestStepMs) const;
   // Its streams miss the target for pauses at every event.
-  static bool IsLate(TimePoint aNow,
-                     const StagePath& aPath,
-                     const PathRequest& aRequest);
+  static bool IsMissingGapTarget(TimePoint aNow,
+                                 const StagePath& aPath,
+                                 const PathRequest& aRequest);
   // The part of the cost that the other gateways' choices will add.
-  double DrawOthersCost(TimePoint aNow,
-                        const StagePath& aPath,
-                        const PathRequest& aRequest) const;
+  double SampleConcurrentCost(TimePoint aNow,
+                              const StagePath& aPath,
+                              const PathRequest& aRequest) const;
   // Some engine of the path refuses new work.
-  static bool IsShunned(TimePoint aNow, const StagePath& aPath);
+  static bool IsEjected(TimePoint aNow, const StagePath& aPath);
   // With the request.
   // The work of all gateways through the first engine, as a multiple of this
   // gateway's own; at least 1.
-  static double OwnToAll(TimePoint aNow,
-                         const StagePath& aPath,
-                         std::uint32_t aGateways);
-  static PathFill Fill(TimePoint aNow,
-                       const StagePath& aPath,
-                       const PathRequest& aRequest);
+  static double FleetLoadFactor(TimePoint aNow,
+                                const StagePath& aPath,
+                                std::uint32_t aGateways);
+  static PathUtilization ComputeUtilization(TimePoint aNow,
+                                            const StagePath& aPath,
+                                            const PathRequest& aRequest);
 
   const std::string m_zone;
-  const PathBookSettings m_settings;
+  const PathSelectorSettings m_settings;
   LayeredModel m_model;
   std::vector<RunnerPtr> m_engines;
   // Fastest first; later ones avoid the engines of earlier ones.
@@ -211,29 +213,29 @@
 };
 
 // The tokens of a request on every stage of its path, as long as it lives.
-class PathHold
+class PathReservation
 {
 public:
-  PathHold() = default;
-  // aUnread: of these, to be read before the first event.
-  PathHold(StagePathPtr aPath,
-           std::uint32_t aTokens,
-           std::uint32_t aUnread = 0);
-  ~PathHold();
-  PathHold(PathHold&& aOther) noexcept;
-  PathHold& operator=(PathHold&& aOther) noexcept;
-  PathHold(const PathHold&) = delete;
-  PathHold& operator=(const PathHold&) = delete;
+  PathReservation() = default;
+  // aPendingPrefill: of these, to be read before the first event.
+  PathReservation(StagePathPtr aPath,
+                  std::uint32_t aTokens,
+                  std::uint32_t aPendingPrefill = 0);
+  ~PathReservation();
+  PathReservation(PathReservation&& aOther) noexcept;
+  PathReservation& operator=(PathReservation&& aOther) noexcept;
+  PathReservation(const PathReservation&) = delete;
+  PathReservation& operator=(const PathReservation&) = delete;
 
   // The prompt has been read.
-  void NoteRead();
+  void MarkPrefillDone();
 
 private:
   void Add(std::int32_t aSign) const;
 
   StagePathPtr m_path;
   std::uint32_t m_tokens = 0;
-  std::uint32_t m_unread = 0;
+  std::uint32_t m_pendingPrefill = 0;
 };
 
 } // namespace parsleycove
--- a/Source/Routing/PlacementPlanner.cxx
+++ b/Source/Routing/PlacementPlanner.cxx
@@ -11,16 +11,16 @@
 namespace {
 
 // Gains below this share of the target flow are not worth loading weights.
-constexpr double kLeastGainShare = 0.005;
+constexpr double kMinGainShare = 0.005;
 
 double
-RateOf(const PlacementRunner& aRunner, const LayerRange& aRange)
+TokensPerSecond(const PlacementRunner& aRunner, const LayerRange& aRange)
 {
   return aRunner.m_layerTokensPerSecond / aRange.Length();
 }
 
 std::vector<LayerRange>
-CutEvenly(std::uint32_t aLayers, std::uint32_t aStages)
+SplitEvenly(std::uint32_t aLayers, std::uint32_t aStages)
 {
   std::vector<LayerRange> ranges;
   std::uint32_t first = 0;
@@ -33,7 +33,7 @@
 }
 
 // The runners of one lane and the stage that each takes.
-struct Lane
+struct Pipeline
 {
   std::vector<LayerRange> m_ranges;
   std::vector<std::size_t> m_runners;
@@ -43,12 +43,12 @@
 };
 
 // Fills the least served stage with the fastest runner that is left.
-Lane
-FillLane(std::vector<LayerRange> aRanges,
-         const std::vector<PlacementRunner>& aRunners,
-         const std::vector<std::size_t>& aFree)
+Pipeline
+AssignPipeline(std::vector<LayerRange> aRanges,
+               const std::vector<PlacementRunner>& aRunners,
+               const std::vector<std::size_t>& aFree)
 {
-  Lane lane;
+  Pipeline lane;
   lane.m_ranges = std::move(aRanges);
   std::uint32_t longest = 0;
   for (const LayerRange& range : lane.m_ranges) {
@@ -69,7 +69,7 @@
     const auto least = std::min_element(rates.begin(), rates.end());
     const auto stage = static_cast<std::size_t>(least - rates.begin());
     lane.m_stages.push_back(stage);
-    *least += RateOf(aRunners[index], lane.m_ranges[stage]);
+    *least += TokensPerSecond(aRunners[index], lane.m_ranges[stage]);
   }
   lane.m_flow = *std::min_element(rates.begin(), rates.end());
   return lane;
@@ -83,10 +83,10 @@
 }
 
 PlacementPlanner::Score
-PlacementPlanner::Rate(std::uint32_t aLayers,
-                       const std::vector<PlacementRunner>& aRunners,
-                       const Assignment& aAssignment,
-                       double aTargetFlow)
+PlacementPlanner::ComputeScore(std::uint32_t aLayers,
+                               const std::vector<PlacementRunner>& aRunners,
+                               const Assignment& aAssignment,
+                               double aTargetFlow)
 {
   std::vector<StageRate> rates;
   std::vector<double> covered(aLayers, 0.0);
@@ -95,7 +95,7 @@
       continue;
     }
     const LayerRange& range = *aAssignment[i];
-    const double rate = RateOf(aRunners[i], range);
+    const double rate = TokensPerSecond(aRunners[i], range);
     rates.push_back({ range.m_firstLayer, range.m_lastLayer, rate, {} });
     for (std::uint32_t l = range.m_firstLayer; l <= range.m_lastLayer; ++l) {
       covered[l] += rate;
@@ -110,18 +110,19 @@
 }
 
 PlacementPlanner::Assignment
-PlacementPlanner::PlanFresh(std::uint32_t aLayers,
-                            const std::vector<PlacementRunner>& aRunners)
+PlacementPlanner::PlanFromScratch(std::uint32_t aLayers,
+                                  const std::vector<PlacementRunner>& aRunners)
 {
   Assignment assignment(aRunners.size());
   std::vector<std::size_t> free(aRunners.size());
   std::iota(free.begin(), free.end(), std::size_t{ 0 });
   while (!free.empty()) {
-    Lane best;
+    Pipeline best;
     for (std::uint32_t stages = 1; stages <= aLayers; ++stages) {
-      Lane lane = FillLane(CutEvenly(aLayers, stages), aRunners, free);
+      Pipeline lane =
+        AssignPipeline(SplitEvenly(aLayers, stages), aRunners, free);
       // Fewer stages are better when the flow is the same: fewer transfers.
-      if (lane.m_flow > best.m_flow * (1.0 + kLeastGainShare)) {
+      if (lane.m_flow > best.m_flow * (1.0 + kMinGainShare)) {
         best = std::move(lane);
       }
     }
@@ -140,10 +141,10 @@
 }
 
 PlacementPlanner::Assignment
-PlacementPlanner::Repair(std::uint32_t aLayers,
-                         const std::vector<PlacementRunner>& aRunners,
-                         double aTargetFlow,
-                         std::vector<std::size_t>& aMoved) const
+PlacementPlanner::Rebalance(std::uint32_t aLayers,
+                            const std::vector<PlacementRunner>& aRunners,
+                            double aTargetFlow,
+                            std::vector<std::size_t>& aMoved) const
 {
   Assignment assignment;
   std::vector<LayerRange> ranges;
@@ -153,10 +154,11 @@
     }
   };
   for (const PlacementRunner& runner : aRunners) {
-    const bool valid = runner.m_holds && runner.m_holds->m_lastLayer < aLayers;
-    assignment.push_back(valid ? runner.m_holds : std::nullopt);
+    const bool valid =
+      runner.m_currentRange && runner.m_currentRange->m_lastLayer < aLayers;
+    assignment.push_back(valid ? runner.m_currentRange : std::nullopt);
     if (valid) {
-      addRange(*runner.m_holds);
+      addRange(*runner.m_currentRange);
     }
   }
   // A range whose last runner vanished is what lies between two others.
@@ -171,9 +173,9 @@
   for (std::size_t i = 0; i + 1 < boundaries.size(); ++i) {
     addRange({ boundaries[i], boundaries[i + 1] - 1 });
   }
-  Score score = Rate(aLayers, aRunners, assignment, aTargetFlow);
+  Score score = ComputeScore(aLayers, aRunners, assignment, aTargetFlow);
   while (aMoved.size() < m_settings.m_maxMoves &&
-         score.m_flow < m_settings.m_goodShare * aTargetFlow) {
+         score.m_flow < m_settings.m_minFlowShare * aTargetFlow) {
     Score bestScore = score;
     std::size_t bestRunner = aRunners.size();
     LayerRange bestRange;
@@ -185,8 +187,9 @@
           continue;
         }
         assignment[i] = range;
-        const Score next = Rate(aLayers, aRunners, assignment, aTargetFlow);
-        const double least = kLeastGainShare * aTargetFlow;
+        const Score next =
+          ComputeScore(aLayers, aRunners, assignment, aTargetFlow);
+        const double least = kMinGainShare * aTargetFlow;
         const bool better = next.m_flow > bestScore.m_flow + least ||
                             (next.m_flow >= bestScore.m_flow &&
                              next.m_coverage > bestScore.m_coverage + least);
@@ -216,12 +219,12 @@
   if (aLayers == 0) {
     return placement;
   }
-  const Assignment fresh = PlanFresh(aLayers, aRunners);
-  const double target = Rate(aLayers, aRunners, fresh, 0).m_flow;
+  const Assignment fresh = PlanFromScratch(aLayers, aRunners);
+  const double target = ComputeScore(aLayers, aRunners, fresh, 0).m_flow;
   std::vector<std::size_t> order;
-  Assignment chosen = Repair(aLayers, aRunners, target, order);
-  placement.m_flow = Rate(aLayers, aRunners, chosen, target).m_flow;
-  if (placement.m_flow < m_settings.m_goodShare * target) {
+  Assignment chosen = Rebalance(aLayers, aRunners, target, order);
+  placement.m_flow = ComputeScore(aLayers, aRunners, chosen, target).m_flow;
+  if (placement.m_flow < m_settings.m_minFlowShare * target) {
     chosen = fresh;
     placement.m_flow = target;
     order.resize(aRunners.size());
@@ -231,7 +234,7 @@
   for (const std::size_t index : order) {
     const PlacementRunner& runner = aRunners[index];
     const bool changes =
-      chosen[index] && chosen[index] != runner.m_holds && !listed[index];
+      chosen[index] && chosen[index] != runner.m_currentRange && !listed[index];
     if (changes) {
       listed[index] = true;
       placement.m_orders.push_back(
--- a/Source/Routing/PlacementPlanner.h
+++ b/Source/Routing/PlacementPlanner.h
@@ -29,7 +29,7 @@
   // How many layers fit into its memory.
   std::uint32_t m_memoryLayers = 0;
   // What it holds now.
-  std::optional<LayerRange> m_holds;
+  std::optional<LayerRange> m_currentRange;
 };
 
 // An absolute order: the runner is to hold exactly this range.
@@ -51,7 +51,7 @@
 struct PlacementSettings
 {
   // A repair that gets this share of a fresh placement's flow is kept.
-  double m_goodShare = 0.9;
+  double m_minFlowShare = 0.9;
   // Moves of a repair; more make it a fresh placement.
   std::size_t m_maxMoves = 32;
 };
@@ -78,16 +78,17 @@
     double m_coverage = 0;
   };
 
-  static Score Rate(std::uint32_t aLayers,
-                    const std::vector<PlacementRunner>& aRunners,
-                    const Assignment& aAssignment,
-                    double aTargetFlow);
-  static Assignment PlanFresh(std::uint32_t aLayers,
-                              const std::vector<PlacementRunner>& aRunners);
-  Assignment Repair(std::uint32_t aLayers,
-                    const std::vector<PlacementRunner>& aRunners,
-                    double aTargetFlow,
-                    std::vector<std::size_t>& aMoved) const;
+  static Score ComputeScore(std::uint32_t aLayers,
+                            const std::vector<PlacementRunner>& aRunners,
+                            const Assignment& aAssignment,
+                            double aTargetFlow);
+  static Assignment PlanFromScratch(
+    std::uint32_t aLayers,
+    const std::vector<PlacementRunner>& aRunners);
+  Assignment Rebalance(std::uint32_t aLayers,
+                       const std::vector<PlacementRunner>& aRunners,
+                       double aTargetFlow,
+                       std::vector<std::size_t>& aMoved) const;
 
   const PlacementSettings m_settings;
 };
--- a/Source/Routing/RepairShare.h
+++ b/Source/Routing/RerouteShare.h
@@ -9,16 +9,16 @@
 
 namespace parsleycove {
 
-struct RepairLoad
+struct RerouteLoad
 {
   // Streams of all gateways with the same lost stage, as far as known here.
   double m_streams = 0;
   // What the engines that step in take to read one of them.
-  double m_standInMs = 0;
+  double m_replacementPrefillMs = 0;
   // What the slowest stage of another path takes for the same.
-  double m_restartMs = 0;
+  double m_restartPrefillMs = 0;
   // From the start of a path to its end for one of them.
-  double m_wholePathMs = 0;
+  double m_pathPrefillMs = 0;
   // Other paths, none of which shares its first engine with another.
   std::size_t m_paths = 0;
 };
@@ -26,6 +26,6 @@
 // In [0, 1]: with this share the last stream that is led round and the last one
 // that begins anew have been read at the same moment. 1 without other paths.
 double
-ShareToLeadRound(const RepairLoad& aLoad);
+ComputeRerouteShare(const RerouteLoad& aLoad);
 
 } // namespace parsleycove
--- a/Source/Routing/RetryBudget.cxx
+++ b/Source/Routing/RetryBudget.cxx
@@ -12,10 +12,10 @@
 
 } // namespace
 
-RetryBudget::RetryBudget(double aShare, double aReserve, std::uint64_t aSeed)
-  : m_share(aShare)
-  , m_reserve(aReserve)
-  , m_tokens(aReserve)
+RetryBudget::RetryBudget(double aRatio, double aCapacity, std::uint64_t aSeed)
+  : m_ratio(aRatio)
+  , m_capacity(aCapacity)
+  , m_tokens(aCapacity)
   , m_random(aSeed)
 {
 }
@@ -23,7 +23,7 @@
 void
 RetryBudget::RecordSuccess()
 {
-  m_tokens = std::min(m_reserve, m_tokens + m_share);
+  m_tokens = std::min(m_capacity, m_tokens + m_ratio);
 }
 
 bool
@@ -37,30 +37,30 @@
 }
 
 RetryDecision
-RetryBudget::Decide(TimePoint aNow, const RetryQuestion& aQuestion)
+RetryBudget::Decide(TimePoint aNow, const RetryRequest& aRequest)
 {
-  if (!aQuestion.m_idempotent && aQuestion.m_byteMayHaveLeft) {
-    return { RetryVerdict::NotIdempotent, {} };
+  if (!aRequest.m_idempotent && aRequest.m_mayHaveBeenSent) {
+    return { RetryStatus::NotIdempotent, {} };
   }
-  if (aQuestion.m_attempts >= aQuestion.m_maxAttempts) {
-    return { RetryVerdict::TooManyAttempts, {} };
+  if (aRequest.m_attempts >= aRequest.m_maxAttempts) {
+    return { RetryStatus::TooManyAttempts, {} };
   }
   // The first retry goes elsewhere at once; later ones wait with full jitter.
   Duration backoff{};
-  if (aQuestion.m_attempts > 1) {
+  if (aRequest.m_attempts > 1) {
     const std::uint32_t doublings =
-      std::min(aQuestion.m_attempts - 2, kMaxBackoffDoublings);
+      std::min(aRequest.m_attempts - 2, kMaxBackoffDoublings);
     const Duration ceiling = kFirstBackoff * (1U << doublings);
     backoff = Duration(static_cast<std::int64_t>(
       m_random.Fraction() * static_cast<double>(ceiling.count())));
   }
-  if (aNow + backoff + aQuestion.m_expected >= aQuestion.m_deadline) {
-    return { RetryVerdict::TooLate, {} };
+  if (aNow + backoff + aRequest.m_expected >= aRequest.m_deadline) {
+    return { RetryStatus::WouldMissDeadline, {} };
   }
   if (!Spend()) {
-    return { RetryVerdict::BudgetSpent, {} };
+    return { RetryStatus::BudgetExhausted, {} };
   }
-  return { RetryVerdict::Retry, backoff };
+  return { RetryStatus::Retry, backoff };
 }
 
 } // namespace parsleycove
--- a/Source/Routing/RetryBudget.h
+++ b/Source/Routing/RetryBudget.h
@@ -8,33 +8,33 @@
 
 namespace parsleycove {
 
-enum class RetryVerdict
+enum class RetryStatus
 {
   Retry,
   // A byte may have left and the call may not be repeated.
   NotIdempotent,
-  BudgetSpent,
+  BudgetExhausted,
   // The retry could not end before the deadline.
-  TooLate,
+  WouldMissDeadline,
   TooManyAttempts,
 };
 
 struct RetryDecision
 {
-  RetryVerdict m_verdict = RetryVerdict::Retry;
+  RetryStatus m_status = RetryStatus::Retry;
   // How long to wait first.
   Duration m_backoff{};
 };
 
 // A failed call that might be tried again.
-struct RetryQuestion
+struct RetryRequest
 {
   // Attempts made so far, at least 1.
   std::uint32_t m_attempts = 1;
   std::uint32_t m_maxAttempts = 4;
   bool m_idempotent = false;
   // True unless it is certain that no byte left for the endpoint.
-  bool m_byteMayHaveLeft = true;
+  bool m_mayHaveBeenSent = true;
   // How long the call usually takes.
   Duration m_expected{};
   TimePoint m_deadline;
@@ -47,18 +47,18 @@
 class RetryBudget
 {
 public:
-  RetryBudget(double aShare, double aReserve, std::uint64_t aSeed);
+  RetryBudget(double aRatio, double aCapacity, std::uint64_t aSeed);
 
   void RecordSuccess();
   // Decides on a retry and, when it is allowed, pays for it.
-  RetryDecision Decide(TimePoint aNow, const RetryQuestion& aQuestion);
+  RetryDecision Decide(TimePoint aNow, const RetryRequest& aRequest);
   // Pays for one extra call; false when the budget is spent.
   bool Spend();
   double Tokens() const { return m_tokens; }
 
 private:
-  const double m_share;
-  const double m_reserve;
+  const double m_ratio;
+  const double m_capacity;
   double m_tokens;
   Random m_random;
 };
--- a/Source/Routing/RoutingConfig.h
+++ b/Source/Routing/RoutingConfig.h
@@ -54,7 +54,7 @@
   bool m_isResumable = false;
   std::vector<WeightedService> m_services;
 
-  bool MayRepeat() const
+  bool CanRetry() const
   {
     return m_kind == RequestKind::Safe ||
            (m_kind == RequestKind::Streaming && m_isResumable);
@@ -67,8 +67,8 @@
   std::string m_name;
   double m_memoryMb = 0;
   // Factors on the time of a step and on the time to read a prompt.
-  double m_stepPace = 1;
-  double m_readPace = 1;
+  double m_stepTimeFactor = 1;
+  double m_prefillTimeFactor = 1;
 };
 
 // The model that a service's engines hold in ranges of layers.
@@ -80,7 +80,7 @@
   double m_tokenBytes = 0;
   // One token step through all layers on an engine of pace 1.
   double m_stepMs = 0;
-  double m_readTokensPerSecond = 0;
+  double m_prefillTokensPerSecond = 0;
   std::vector<AcceleratorKind> m_kinds;
 
   const AcceleratorKind* FindKind(std::string_view aName) const;
--- a/Source/Routing/RunnerLoad.cxx
+++ b/Source/Routing/RunnerLoad.cxx
@@ -9,26 +9,26 @@
 namespace {
 
 constexpr double kAverageWeight = 0.125;
-constexpr double kMinSlowness = 1.0 / 64;
-constexpr double kMaxSlowness = 64.0;
-constexpr double kSlownessHalfLifeSeconds = 2.0;
+constexpr double kMinSlowdown = 1.0 / 64;
+constexpr double kMaxSlowdown = 64.0;
+constexpr double kSlowdownHalfLifeSeconds = 2.0;
 // Steps below this many positions measure the round trip, others the rate.
 constexpr std::uint32_t kPrefillPositions = 8;
 // Without an answer for so long, an endpoint gets no further work.
-constexpr std::int64_t kUnansweringRoundTrips = 3;
-constexpr std::int64_t kMinUnansweringNs = 50'000'000;
-constexpr std::uint32_t kFailuresToSuspect = 2;
+constexpr std::int64_t kUnresponsiveRoundTrips = 3;
+constexpr std::int64_t kMinUnresponsiveNs = 50'000'000;
+constexpr std::uint32_t kFailuresToOpen = 2;
 // One event weighs so little that a single pause of all streams of a batch is
 // forgotten after a few dozen events.
-constexpr std::int64_t kEventGapWeight = 16;
+constexpr std::int64_t kEventGapDivisor = 16;
 // Engines change their pace within seconds.
-constexpr std::int64_t kEventGapAgeNs = 1'000'000'000;
-constexpr std::int64_t kFirstSuspicionNs = 500'000'000;
-constexpr std::uint32_t kMaxSuspicionDoublings = 6;
+constexpr std::int64_t kMaxEventGapAgeNs = 1'000'000'000;
+constexpr std::int64_t kFirstOpenNs = 500'000'000;
+constexpr std::uint32_t kMaxOpenDoublings = 6;
 constexpr std::int64_t kProbeWindowNs = 1'000'000'000;
 // A refusal this soon after the last one follows it.
-constexpr std::int64_t kShunMemoryNs = 500'000'000;
-constexpr std::uint32_t kMaxShunDoublings = 3;
+constexpr std::int64_t kEjectMemoryNs = 500'000'000;
+constexpr std::uint32_t kMaxEjectDoublings = 3;
 
 std::int64_t
 ToNs(TimePoint aTime)
@@ -37,7 +37,7 @@
 }
 
 void
-Average(std::atomic<std::int64_t>& aAverage, std::int64_t aSample)
+UpdateAverage(std::atomic<std::int64_t>& aAverage, std::int64_t aSample)
 {
   const std::int64_t old = aAverage.load(std::memory_order_relaxed);
   const double next = old == 0
@@ -48,7 +48,7 @@
 }
 
 double
-Fade(std::int64_t aAgeNs, double aHalfLifeSeconds)
+DecayWeight(std::int64_t aAgeNs, double aHalfLifeSeconds)
 {
   const double seconds =
     static_cast<double>(std::max<std::int64_t>(aAgeNs, 0)) / 1e9;
@@ -82,32 +82,32 @@
   AbandonStep(aPositions);
   const std::int64_t taken = std::max<std::int64_t>(aTaken.count(), 1);
   if (aPositions < kPrefillPositions) {
-    Average(m_roundTripNs, taken);
+    UpdateAverage(m_roundTripNs, taken);
   } else {
-    Average(m_positionNs, taken / aPositions);
+    UpdateAverage(m_positionNs, taken / aPositions);
   }
   if (aPositions < kPrefillPositions && aExpected > Duration::zero()) {
-    RecordSlowness(aNow, static_cast<double>(taken) / aExpected.count());
+    AddSlowdownSample(aNow, static_cast<double>(taken) / aExpected.count());
   }
   m_waitingSinceNs.store(ToNs(aNow), std::memory_order_relaxed);
   m_answeredAtNs.store(ToNs(aNow), std::memory_order_relaxed);
   m_failures.store(0, std::memory_order_relaxed);
-  m_suspectUntilNs.store(0, std::memory_order_relaxed);
+  m_openUntilNs.store(0, std::memory_order_relaxed);
 }
 
 void
-RunnerLoad::RecordSlowness(TimePoint aNow, double aSample)
+RunnerLoad::AddSlowdownSample(TimePoint aNow, double aSample)
 {
-  const double old = Slowness(aNow);
-  const double sample = std::min(aSample, kMaxSlowness);
+  const double old = Slowdown(aNow);
+  const double sample = std::min(aSample, kMaxSlowdown);
   const double next = old + kAverageWeight * (sample - old);
-  m_slowness.store(std::clamp(next, kMinSlowness, kMaxSlowness),
+  m_slowdown.store(std::clamp(next, kMinSlowdown, kMaxSlowdown),
                    std::memory_order_relaxed);
-  m_slownessAtNs.store(ToNs(aNow), std::memory_order_relaxed);
+  m_slowdownAtNs.store(ToNs(aNow), std::memory_order_relaxed);
 }
 
 void
-RunnerLoad::NoteSent(TimePoint aNow)
+RunnerLoad::RecordSend(TimePoint aNow)
 {
   if (Load(m_steps) == 0) {
     m_waitingSinceNs.store(ToNs(aNow), std::memory_order_relaxed);
@@ -115,15 +115,15 @@
 }
 
 bool
-RunnerLoad::IsUnanswering(TimePoint aNow) const
+RunnerLoad::IsUnresponsive(TimePoint aNow) const
 {
   const std::int64_t since = Load(m_waitingSinceNs);
   if (Load(m_steps) == 0 || since == 0) {
     return false;
   }
-  const std::int64_t patience =
-    std::max(kUnansweringRoundTrips * Load(m_roundTripNs), kMinUnansweringNs);
-  return ToNs(aNow) - since > patience;
+  const std::int64_t timeout =
+    std::max(kUnresponsiveRoundTrips * Load(m_roundTripNs), kMinUnresponsiveNs);
+  return ToNs(aNow) - since > timeout;
 }
 
 bool
@@ -139,7 +139,7 @@
 {
   const std::int64_t others =
     static_cast<std::int64_t>(aQueued) + aRunning - Load(m_streams);
-  m_reportedOthers.store(
+  m_reportedOtherStreams.store(
     static_cast<std::int32_t>(std::max<std::int64_t>(others, 0)),
     std::memory_order_relaxed);
   m_reportedAtNs.store(ToNs(aNow), std::memory_order_relaxed);
@@ -150,21 +150,21 @@
 {
   const std::uint32_t failures =
     m_failures.fetch_add(1, std::memory_order_relaxed) + 1;
-  if (failures < kFailuresToSuspect) {
+  if (failures < kFailuresToOpen) {
     return;
   }
   const std::uint32_t doublings =
-    std::min(failures - kFailuresToSuspect, kMaxSuspicionDoublings);
-  m_suspectUntilNs.store(ToNs(aNow) + (kFirstSuspicionNs << doublings),
-                         std::memory_order_relaxed);
+    std::min(failures - kFailuresToOpen, kMaxOpenDoublings);
+  m_openUntilNs.store(ToNs(aNow) + (kFirstOpenNs << doublings),
+                      std::memory_order_relaxed);
 }
 
 void
-RunnerLoad::RecordSilence(TimePoint aNow, TimePoint aSentAt)
+RunnerLoad::RecordTimeout(TimePoint aNow, TimePoint aSentAt)
 {
   const bool answeredSince = Load(m_waitingSinceNs) > ToNs(aSentAt);
-  if (!answeredSince && Load(m_failures) + 1 < kFailuresToSuspect) {
-    m_failures.store(kFailuresToSuspect - 1, std::memory_order_relaxed);
+  if (!answeredSince && Load(m_failures) + 1 < kFailuresToOpen) {
+    m_failures.store(kFailuresToOpen - 1, std::memory_order_relaxed);
   }
   RecordFailure(aNow);
 }
@@ -172,40 +172,40 @@
 void
 RunnerLoad::Suspect(TimePoint aNow, Duration aFor)
 {
-  m_suspectUntilNs.store(ToNs(aNow) + aFor.count(), std::memory_order_relaxed);
+  m_openUntilNs.store(ToNs(aNow) + aFor.count(), std::memory_order_relaxed);
 }
 
 void
-RunnerLoad::Clear(TimePoint aNow)
+RunnerLoad::CloseCircuit(TimePoint aNow)
 {
   m_answeredAtNs.store(ToNs(aNow), std::memory_order_relaxed);
   m_failures.store(0, std::memory_order_relaxed);
-  m_suspectUntilNs.store(0, std::memory_order_relaxed);
+  m_openUntilNs.store(0, std::memory_order_relaxed);
 }
 
 void
-RunnerLoad::Shun(TimePoint aNow, Duration aFor)
+RunnerLoad::EjectFor(TimePoint aNow, Duration aFor)
 {
   const std::int64_t now = ToNs(aNow);
-  const std::int64_t until = Load(m_shunUntilNs);
+  const std::int64_t until = Load(m_ejectedUntilNs);
   if (now < until) {
     return;
   }
-  const bool follows = until != 0 && now - until < kShunMemoryNs;
+  const bool follows = until != 0 && now - until < kEjectMemoryNs;
   const std::uint32_t doublings =
-    follows ? std::min(Load(m_shunDoublings) + 1, kMaxShunDoublings) : 0;
-  m_shunDoublings.store(doublings, std::memory_order_relaxed);
-  m_shunUntilNs.store(now + (aFor.count() << doublings),
-                      std::memory_order_relaxed);
+    follows ? std::min(Load(m_ejectDoublings) + 1, kMaxEjectDoublings) : 0;
+  m_ejectDoublings.store(doublings, std::memory_order_relaxed);
+  m_ejectedUntilNs.store(now + (aFor.count() << doublings),
+                         std::memory_order_relaxed);
 }
 
 void
-RunnerLoad::NoteEventGap(TimePoint aNow, Duration aGap)
+RunnerLoad::RecordEventGap(TimePoint aNow, Duration aGap)
 {
   const std::int64_t gap = std::chrono::nanoseconds(aGap).count();
   const std::int64_t usual = Load(m_eventGapNs);
   const bool isKnown = EventGap(aNow) != Duration::zero();
-  m_eventGapNs.store(isKnown ? usual + (gap - usual) / kEventGapWeight : gap,
+  m_eventGapNs.store(isKnown ? usual + (gap - usual) / kEventGapDivisor : gap,
                      std::memory_order_relaxed);
   m_eventGapAtNs.store(ToNs(aNow), std::memory_order_relaxed);
 }
@@ -213,24 +213,24 @@
 Duration
 RunnerLoad::EventGap(TimePoint aNow) const
 {
-  const bool isRecent = ToNs(aNow) - Load(m_eventGapAtNs) < kEventGapAgeNs;
+  const bool isRecent = ToNs(aNow) - Load(m_eventGapAtNs) < kMaxEventGapAgeNs;
   return isRecent ? Duration(Load(m_eventGapNs)) : Duration::zero();
 }
 
 void
-RunnerLoad::NotePace(TimePoint aNow, double aPace)
+RunnerLoad::RecordSlowdown(TimePoint aNow, double aSlowdown)
 {
-  m_slowness.store(std::clamp(aPace, kMinSlowness, kMaxSlowness),
+  m_slowdown.store(std::clamp(aSlowdown, kMinSlowdown, kMaxSlowdown),
                    std::memory_order_relaxed);
-  m_slownessAtNs.store(ToNs(aNow), std::memory_order_relaxed);
+  m_slowdownAtNs.store(ToNs(aNow), std::memory_order_relaxed);
 }
 
 CircuitState
 RunnerLoad::Circuit(TimePoint aNow) const
 {
-  const std::int64_t until = Load(m_suspectUntilNs);
+  const std::int64_t until = Load(m_openUntilNs);
   if (until == 0) {
-    return CircuitState::Ok;
+    return CircuitState::Closed;
   }
   return ToNs(aNow) < until ? CircuitState::Suspect : CircuitState::HalfOpen;
 }
@@ -238,14 +238,14 @@
 bool
 RunnerLoad::ClaimProbe(TimePoint aNow)
 {
-  std::int64_t until = Load(m_suspectUntilNs);
+  std::int64_t until = Load(m_openUntilNs);
   if (until == 0) {
     return true;
   }
   if (ToNs(aNow) < until) {
     return false;
   }
-  return m_suspectUntilNs.compare_exchange_strong(
+  return m_openUntilNs.compare_exchange_strong(
     until, ToNs(aNow) + kProbeWindowNs, std::memory_order_relaxed);
 }
 
@@ -257,20 +257,20 @@
   if (reportedAt == 0) {
     return own;
   }
-  const double others = Load(m_reportedOthers);
-  return own + others * Fade(ToNs(aNow) - reportedAt, aHalfLifeSeconds);
+  const double others = Load(m_reportedOtherStreams);
+  return own + others * DecayWeight(ToNs(aNow) - reportedAt, aHalfLifeSeconds);
 }
 
 double
-RunnerLoad::Slowness(TimePoint aNow) const
+RunnerLoad::Slowdown(TimePoint aNow) const
 {
-  const std::int64_t at = Load(m_slownessAtNs);
+  const std::int64_t at = Load(m_slowdownAtNs);
   if (at == 0) {
     return 1.0;
   }
-  const double slowness = Load(m_slowness);
-  const double weight = Fade(ToNs(aNow) - at, kSlownessHalfLifeSeconds);
-  return 1.0 + (slowness - 1.0) * weight;
+  const double slowdown = Load(m_slowdown);
+  const double weight = DecayWeight(ToNs(aNow) - at, kSlowdownHalfLifeSeconds);
+  return 1.0 + (slowdown - 1.0) * weight;
 }
 
 } // namespace parsleycove
--- a/Source/Routing/ServicePicker.cxx
+++ b/Source/Routing/ServicePicker.cxx
@@ -9,7 +9,7 @@
 
 // Load, in calls for each slot, that going to another zone is worth.
 constexpr double kOtherZonePenalty = 0.05;
-constexpr double kSuspectPenalty = 1e6;
+constexpr double kOpenCircuitPenalty = 1e6;
 
 } // namespace
 
@@ -26,12 +26,12 @@
   const RunnerLoad& load = *aRunner.m_load;
   const double slots = std::max(1U, aRunner.m_slots);
   double score =
-    (1.0 + load.EstimateStreams(aNow)) / slots * load.Slowness(aNow);
+    (1.0 + load.EstimateStreams(aNow)) / slots * load.Slowdown(aNow);
   if (aRunner.m_zone != aRequest.m_ownZone) {
     score += kOtherZonePenalty / slots;
   }
   if (load.Circuit(aNow) == CircuitState::Suspect) {
-    score += kSuspectPenalty;
+    score += kOpenCircuitPenalty;
   }
   return score;
 }
@@ -59,12 +59,12 @@
     return nullptr;
   }
   // A suspect endpoint is taken only when no other is left.
-  const auto isSuspect = [aNow](const RunnerPtr* aRunner) {
+  const auto hasOpenCircuit = [aNow](const RunnerPtr* aRunner) {
     return (*aRunner)->m_load->Circuit(aNow) == CircuitState::Suspect;
   };
   const auto healthyEnd = std::stable_partition(
     m_candidates.begin(), m_candidates.end(), [&](const RunnerPtr* aRunner) {
-      return !isSuspect(aRunner);
+      return !hasOpenCircuit(aRunner);
     });
   const auto healthy =
     static_cast<std::size_t>(healthyEnd - m_candidates.begin());
--- a/Source/Routing/StepTimeout.cxx
+++ b/Source/Routing/StepTimeout.cxx
@@ -17,7 +17,7 @@
 ComputeStepTimeout(const ClassTargets& aTargets,
                    const Runner& aRunner,
                    const EngineStep& aStep,
-                   bool aIsFirst)
+                   bool aIsFirstToken)
 {
   const RunnerLoad& load = *aRunner.m_load;
   Duration timeout =
@@ -28,7 +28,7 @@
     const Duration perPosition = std::max(nominal, load.ServicePerPosition());
     timeout += kTimeoutIntervals * perPosition * aStep.m_count;
   }
-  if (aIsFirst) {
+  if (aIsFirstToken) {
     timeout = std::max(timeout, aTargets.m_firstToken / 2);
   }
   return std::clamp(timeout, kMinStepTimeout, kMaxStepTimeout);
--- a/Source/Routing/StepTimeout.h
+++ b/Source/Routing/StepTimeout.h
@@ -10,11 +10,11 @@
 
 // Returns the time after which an unanswered step counts as lost: a multiple
 // of the class's token interval or of the runner's usual round trip, and more
-// for a prompt. aIsFirst is true until the caller was given a token.
+// for a prompt. aIsFirstToken is true until the caller was given a token.
 Duration
 ComputeStepTimeout(const ClassTargets& aTargets,
                    const Runner& aRunner,
                    const EngineStep& aStep,
-                   bool aIsFirst);
+                   bool aIsFirstToken);
 
 } // namespace parsleycove
