--- a/Source/Routing/StreamMachine.cxx
+++ b/Source/Routing/StreamStateMachine.cxx
@@ -1,5 +1,5 @@
 // The state machine of one generation over a chain of runners.
-#include "Routing/StreamMachine.h"
+#include "Routing/StreamStateMachine.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,27 +14,28 @@
 
 } // namespace
 
-StreamMachine::StreamMachine(StreamSettings aSettings, RetryBudget* aBudget)
+StreamStateMachine::StreamStateMachine(StreamSettings aSettings,
+                                       RetryBudget* aBudget)
   : m_settings(std::move(aSettings))
   , m_budget(aBudget)
 {
 }
 
-StreamMachine::~StreamMachine() = default;
+StreamStateMachine::~StreamStateMachine() = default;
 
 std::vector<StreamAction>
-StreamMachine::TakeActions()
+StreamStateMachine::TakeActions()
 {
   return std::exchange(m_actions, {});
 }
 
 TimePoint
-StreamMachine::NextDeadline() const
+StreamStateMachine::NextDeadline() const
 {
   if (m_phase == Phase::Finished) {
     return TimePoint::max();
   }
-  TimePoint next = std::min(m_settings.m_deadline, m_askAgainAt);
+  TimePoint next = std::min(m_settings.m_deadline, m_retryAt);
   if (m_chain.Step()) {
     next = std::min(next, m_chain.Step()->m_timeoutAt);
   }
@@ -42,33 +43,34 @@
 }
 
 void
-StreamMachine::OnTokenized(TimePoint aNow, std::vector<std::uint32_t> aTokens)
+StreamStateMachine::OnTokenized(TimePoint aNow,
+                                std::vector<std::uint32_t> aTokens)
 {
   if (m_phase != Phase::Tokenizing) {
     return;
   }
   m_prompt = std::move(aTokens);
-  AskForChain(aNow, aNow);
+  RequestChain(aNow, aNow);
 }
 
 void
-StreamMachine::AskForChain(TimePoint aNow, TimePoint aNotBefore)
+StreamStateMachine::RequestChain(TimePoint aNow, TimePoint aNotBefore)
 {
   m_phase = Phase::WaitingForChain;
   if (aNotBefore > aNow) {
-    m_askAgainAt = aNotBefore;
+    m_retryAt = aNotBefore;
     return;
   }
-  m_askAgainAt = TimePoint::max();
+  m_retryAt = TimePoint::max();
   const auto emitted = static_cast<std::uint32_t>(m_emitted.size());
   const std::uint32_t missing =
     m_settings.m_maxTokens > emitted ? m_settings.m_maxTokens - emitted : 0;
-  m_actions.emplace_back(
-    NeedChain{ m_attempt, InputCount(), missing, m_excluded, m_silentSince });
+  m_actions.emplace_back(NeedChain{
+    m_attempt, InputCount(), missing, m_excluded, m_unansweredSince });
 }
 
 void
-StreamMachine::OnChain(TimePoint aNow, Chain aChain)
+StreamStateMachine::OnChain(TimePoint aNow, Chain aChain)
 {
   if (m_phase != Phase::WaitingForChain || aChain.m_stages.empty()) {
     return;
@@ -77,49 +79,50 @@
     Finish(FinishReason::End, "prompt: expected at least one token");
     return;
   }
-  m_chain.Take(std::move(aChain));
-  m_askAgainAt = TimePoint::max();
+  m_chain.Reserve(std::move(aChain));
+  m_retryAt = TimePoint::max();
   m_phase = Phase::Running;
-  m_done = 0;
-  SendInputs(aNow);
+  m_processedInputs = 0;
+  SendPendingInputs(aNow);
 }
 
 void
-StreamMachine::OnNoChain(TimePoint aNow, const std::string& aWhy)
+StreamStateMachine::OnNoChain(TimePoint aNow, const std::string& aReason)
 {
   if (m_phase != Phase::WaitingForChain) {
     return;
   }
   const bool fresh = m_attempt == 1;
   if (fresh) {
-    Finish(FinishReason::NoChain, aWhy);
+    Finish(FinishReason::NoChain, aReason);
     return;
   }
   // A running stream waits for another placement until its deadline, and may
   // go back to a runner that failed it once.
-  m_lastFailure = aWhy;
+  m_lastFailure = aReason;
   m_excluded.clear();
-  AskForChain(aNow, aNow + kRetryInterval);
+  RequestChain(aNow, aNow + kRetryInterval);
 }
 
 std::uint32_t
-StreamMachine::InputCount() const
+StreamStateMachine::InputCount() const
 {
   return static_cast<std::uint32_t>(m_prompt.size() + m_emitted.size());
 }
 
 void
-StreamMachine::SendInputs(TimePoint aNow)
+StreamStateMachine::SendPendingInputs(TimePoint aNow)
 {
-  const std::uint32_t missing = InputCount() - m_done;
+  const std::uint32_t missing = InputCount() - m_processedInputs;
   const std::uint32_t chunk = m_settings.m_prefillChunk;
   const std::uint32_t count = chunk == 0 ? missing : std::min(missing, chunk);
   EngineStep step;
   step.m_attempt = m_attempt;
-  step.m_position = m_done;
+  step.m_position = m_processedInputs;
   step.m_count = count;
   step.m_tokens.reserve(count);
-  for (std::uint32_t i = m_done; i < m_done + count; ++i) {
+  for (std::uint32_t i = m_processedInputs; i < m_processedInputs + count;
+       ++i) {
     step.m_tokens.push_back(
       i < m_prompt.size() ? m_prompt[i] : m_emitted[i - m_prompt.size()]);
   }
@@ -127,7 +130,7 @@
 }
 
 void
-StreamMachine::Send(TimePoint aNow, EngineStep aStep, std::size_t aStage)
+StreamStateMachine::Send(TimePoint aNow, EngineStep aStep, std::size_t aStage)
 {
   const RunnerPtr& runner = m_chain.RunnerAt(aStage);
   const Duration timeout =
@@ -138,14 +141,15 @@
 }
 
 bool
-StreamMachine::IsOutstanding(std::uint32_t aAttempt, std::size_t aStage) const
+StreamStateMachine::IsOutstanding(std::uint32_t aAttempt,
+                                  std::size_t aStage) const
 {
   return m_phase == Phase::Running && m_chain.Step() && aAttempt == m_attempt &&
          aStage == m_chain.Step()->m_stage;
 }
 
 void
-StreamMachine::OnResult(TimePoint aNow, StepResult aResult)
+StreamStateMachine::OnResult(TimePoint aNow, StepResult aResult)
 {
   const bool expected = IsOutstanding(aResult.m_attempt, aResult.m_stage) &&
                         aResult.m_position == m_chain.Step()->m_position;
@@ -154,27 +158,29 @@
   }
   switch (aResult.m_status) {
     case StepStatus::Ok:
-      TakeOk(aNow, std::move(aResult));
+      HandleOk(aNow, std::move(aResult));
       return;
     case StepStatus::Gap:
-      Restart(aNow, "a stage lacked earlier positions", StageFault::Answered);
+      AbandonAttempt(
+        aNow, "a stage lacked earlier positions", StageFault::Answered);
       return;
     case StepStatus::Cancelled:
-      Restart(aNow, "a stage had cancelled the stream", StageFault::Answered);
+      AbandonAttempt(
+        aNow, "a stage had cancelled the stream", StageFault::Answered);
       return;
     case StepStatus::Refused:
-      Restart(aNow, "a stage refused the step", StageFault::Answered);
+      AbandonAttempt(aNow, "a stage refused the step", StageFault::Answered);
       return;
   }
 }
 
 void
-StreamMachine::TakeOk(TimePoint aNow, StepResult aResult)
+StreamStateMachine::HandleOk(TimePoint aNow, StepResult aResult)
 {
   const OutstandingStep sent = *m_chain.Step();
   m_chain.FinishStep(aNow);
   const std::size_t next = sent.m_stage + 1;
-  if (next < m_chain.Stages()) {
+  if (next < m_chain.StageCount()) {
     EngineStep step;
     step.m_attempt = m_attempt;
     step.m_position = sent.m_position;
@@ -183,16 +189,16 @@
     Send(aNow, std::move(step), next);
     return;
   }
-  m_done += sent.m_count;
-  if (m_done < InputCount()) {
-    SendInputs(aNow);
+  m_processedInputs += sent.m_count;
+  if (m_processedInputs < InputCount()) {
+    SendPendingInputs(aNow);
     return;
   }
-  TakeToken(aNow, aResult);
+  HandleToken(aNow, aResult);
 }
 
 void
-StreamMachine::TakeToken(TimePoint aNow, const StepResult& aResult)
+StreamStateMachine::HandleToken(TimePoint aNow, const StepResult& aResult)
 {
   // The end mark may carry no text; then it is no token of the answer.
   if (!aResult.m_end || !aResult.m_text.empty()) {
@@ -210,80 +216,81 @@
   } else if (m_callerSlow) {
     m_phase = Phase::Paused;
   } else {
-    SendInputs(aNow);
+    SendPendingInputs(aNow);
   }
 }
 
 void
-StreamMachine::OnStepFailed(TimePoint aNow,
-                            std::uint32_t aAttempt,
-                            std::size_t aStage)
+StreamStateMachine::OnStepFailed(TimePoint aNow,
+                                 std::uint32_t aAttempt,
+                                 std::size_t aStage)
 {
   if (IsOutstanding(aAttempt, aStage)) {
-    Restart(aNow, "the connection to a stage failed", StageFault::Failed);
+    AbandonAttempt(
+      aNow, "the connection to a stage failed", StageFault::Failed);
   }
 }
 
 void
-StreamMachine::OnStepSilent(TimePoint aNow,
-                            std::uint32_t aAttempt,
-                            std::size_t aStage)
+StreamStateMachine::OnStepUnresponsive(TimePoint aNow,
+                                       std::uint32_t aAttempt,
+                                       std::size_t aStage)
 {
   if (IsOutstanding(aAttempt, aStage)) {
-    Restart(aNow, "a stage stayed silent", StageFault::Silent);
+    AbandonAttempt(aNow, "a stage stayed silent", StageFault::Silent);
   }
 }
 
 void
-StreamMachine::Restart(TimePoint aNow,
-                       const std::string& aWhy,
-                       StageFault aFault)
+StreamStateMachine::AbandonAttempt(TimePoint aNow,
+                                   const std::string& aReason,
+                                   StageFault aFault)
 {
   const OutstandingStep sent = *m_chain.Step();
   const RunnerPtr failed = m_chain.RunnerAt(sent.m_stage);
   if (aFault == StageFault::Failed) {
     failed->m_load->RecordFailure(aNow);
   } else if (aFault == StageFault::Silent) {
-    failed->m_load->RecordSilence(aNow, sent.m_sentAt);
-    m_silentSince = sent.m_sentAt;
+    failed->m_load->RecordTimeout(aNow, sent.m_sentAt);
+    m_unansweredSince = sent.m_sentAt;
   }
-  m_lastFailure = failed->m_id + ": " + aWhy;
+  m_lastFailure = failed->m_id + ": " + aReason;
   m_excluded.push_back(failed->m_id);
   ReleaseChain();
   TryNextAttempt(aNow);
 }
 
 RetryDecision
-StreamMachine::DecideOnRetry(TimePoint aNow)
+StreamStateMachine::DecideOnRetry(TimePoint aNow)
 {
   if (!m_budget) {
     const bool more = m_attempt < m_settings.m_maxAttempts;
-    return { more ? RetryVerdict::Retry : RetryVerdict::TooManyAttempts, {} };
+    return { more ? RetryStatus::Retry : RetryStatus::TooManyAttempts, {} };
   }
-  RetryQuestion question;
-  question.m_attempts = m_attempt;
-  question.m_maxAttempts = m_settings.m_maxAttempts;
+  RetryRequest request;
+  request.m_attempts = m_attempt;
+  request.m_maxAttempts = m_settings.m_maxAttempts;
   // Steps are idempotent: an attempt's number keeps its results apart.
-  question.m_idempotent = true;
-  question.m_deadline = m_settings.m_deadline;
-  return m_budget->Decide(aNow, question);
+  request.m_idempotent = true;
+  request.m_deadline = m_settings.m_deadline;
+  return m_budget->Decide(aNow, request);
 }
 
 void
-StreamMachine::TryNextAttempt(TimePoint aNow)
+StreamStateMachine::TryNextAttempt(TimePoint aNow)
 {
   const RetryDecision decision = DecideOnRetry(aNow);
-  switch (decision.m_verdict) {
-    case RetryVerdict::Retry:
+  switch (decision.m_status) {
+    case RetryStatus::Retry:
       ++m_attempt;
-      AskForChain(aNow, aNow + decision.m_backoff);
+      RequestChain(aNow, aNow + decision.m_backoff);
       return;
-    case RetryVerdict::BudgetSpent:
+    case RetryStatus::BudgetExhausted:
       // Others' successes fill the budget; until then this stream waits.
       m_phase = Phase::WaitingForBudget;
-      m_askAgainAt = aNow + kRetryInterval;
+      m_retryAt = aNow + kRetryInterval;
       return;
-    case RetryVerdict::TooLate:
+    case RetryStatus::WouldMissDeadline:
       Finish(FinishReason::DeadlineExceeded, m_lastFailure);
       return;
     default:
@@ -292,23 +299,23 @@
 }
 
 void
-StreamMachine::OnCallerSlow(TimePoint /*aNow*/)
+StreamStateMachine::OnCallerSlow(TimePoint /*aNow*/)
 {
   m_callerSlow = true;
 }
 
 void
-StreamMachine::OnCallerDrained(TimePoint aNow)
+StreamStateMachine::OnCallerDrained(TimePoint aNow)
 {
   m_callerSlow = false;
   if (m_phase == Phase::Paused) {
     m_phase = Phase::Running;
-    SendInputs(aNow);
+    SendPendingInputs(aNow);
   }
 }
 
 void
-StreamMachine::OnCancel(TimePoint /*aNow*/)
+StreamStateMachine::OnCancel(TimePoint /*aNow*/)
 {
   if (m_phase != Phase::Finished) {
     Finish(FinishReason::Cancelled, "the caller cancelled the request");
@@ -316,7 +323,7 @@
 }
 
 void
-StreamMachine::OnTick(TimePoint aNow)
+StreamStateMachine::OnTick(TimePoint aNow)
 {
   if (m_phase == Phase::Finished) {
     return;
@@ -325,35 +332,35 @@
     Finish(FinishReason::DeadlineExceeded, m_lastFailure);
     return;
   }
-  if (m_phase == Phase::WaitingForChain && aNow >= m_askAgainAt) {
-    AskForChain(aNow, aNow);
+  if (m_phase == Phase::WaitingForChain && aNow >= m_retryAt) {
+    RequestChain(aNow, aNow);
     return;
   }
-  if (m_phase == Phase::WaitingForBudget && aNow >= m_askAgainAt) {
+  if (m_phase == Phase::WaitingForBudget && aNow >= m_retryAt) {
     TryNextAttempt(aNow);
     return;
   }
   if (m_chain.Step() && aNow >= m_chain.Step()->m_timeoutAt) {
-    OnStepSilent(aNow, m_attempt, m_chain.Step()->m_stage);
+    OnStepUnresponsive(aNow, m_attempt, m_chain.Step()->m_stage);
   }
 }
 
 void
-StreamMachine::ReleaseChain()
+StreamStateMachine::ReleaseChain()
 {
   // Engines keep a stream's KV cache until they are told that it is over.
-  for (std::size_t i = 0; i < m_chain.Stages(); ++i) {
+  for (std::size_t i = 0; i < m_chain.StageCount(); ++i) {
     m_actions.emplace_back(SendCancel{ i, m_chain.RunnerAt(i), m_attempt });
   }
   m_chain.Release();
 }
 
 void
-StreamMachine::Finish(FinishReason aReason, std::string aText)
+StreamStateMachine::Finish(FinishReason aReason, std::string aText)
 {
   ReleaseChain();
   m_phase = Phase::Finished;
-  m_askAgainAt = TimePoint::max();
+  m_retryAt = TimePoint::max();
   m_actions.emplace_back(FinishStream{ aReason, std::move(aText) });
 }
 
--- a/Source/Routing/StreamMachine.h
+++ b/Source/Routing/StreamStateMachine.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "Base/Clock.h"
-#include "Routing/ChainHold.h"
+#include "Routing/ChainReservation.h"
 #include "Routing/RetryBudget.h"
 #include "Routing/StepResult.h"
 #include "Routing/StreamAction.h"
@@ -30,24 +30,26 @@
 // position are those of the outstanding step. A failed, silent or refusing
 // stage starts the next attempt on a new chain, with the prompt and all tokens
 // already emitted as its input; so the caller sees each token once.
-class StreamMachine
+class StreamStateMachine
 {
 public:
   // aBudget may be null: then attempts are bounded by count and deadline only.
-  StreamMachine(StreamSettings aSettings, RetryBudget* aBudget);
-  ~StreamMachine();
-  StreamMachine(const StreamMachine&) = delete;
-  StreamMachine& operator=(const StreamMachine&) = delete;
+  StreamStateMachine(StreamSettings aSettings, RetryBudget* aBudget);
+  ~StreamStateMachine();
+  StreamStateMachine(const StreamStateMachine&) = delete;
+  StreamStateMachine& operator=(const StreamStateMachine&) = delete;
 
   void OnTokenized(TimePoint aNow, std::vector<std::uint32_t> aTokens);
   // Answers to NeedChain.
   void OnChain(TimePoint aNow, Chain aChain);
-  void OnNoChain(TimePoint aNow, const std::string& aWhy);
+  void OnNoChain(TimePoint aNow, const std::string& aReason);
   void OnResult(TimePoint aNow, StepResult aResult);
   // The connection broke or was refused, or the endpoint is gone.
   void OnStepFailed(TimePoint aNow, std::uint32_t aAttempt, std::size_t aStage);
   // The connection of the step gave no sign of life.
-  void OnStepSilent(TimePoint aNow, std::uint32_t aAttempt, std::size_t aStage);
+  void OnStepUnresponsive(TimePoint aNow,
+                          std::uint32_t aAttempt,
+                          std::size_t aStage);
   // The caller's buffer is full, or has room again.
   void OnCallerSlow(TimePoint aNow);
   void OnCallerDrained(TimePoint aNow);
@@ -86,12 +88,14 @@
   bool IsOutstanding(std::uint32_t aAttempt, std::size_t aStage) const;
   std::vector<std::uint32_t> Inputs() const;
   std::uint32_t InputCount() const;
-  void AskForChain(TimePoint aNow, TimePoint aNotBefore);
-  void SendInputs(TimePoint aNow);
+  void RequestChain(TimePoint aNow, TimePoint aNotBefore);
+  void SendPendingInputs(TimePoint aNow);
   void Send(TimePoint aNow, EngineStep aStep, std::size_t aStage);
-  void TakeOk(TimePoint aNow, StepResult aResult);
-  void TakeToken(TimePoint aNow, const StepResult& aResult);
-  void Restart(TimePoint aNow, const std::string& aWhy, StageFault aFault);
+  void HandleOk(TimePoint aNow, StepResult aResult);
+  void HandleToken(TimePoint aNow, const StepResult& aResult);
+  void AbandonAttempt(TimePoint aNow,
+                      const std::string& aReason,
+                      StageFault aFault);
   RetryDecision DecideOnRetry(TimePoint aNow);
   void TryNextAttempt(TimePoint aNow);
   // Tells the stages that the attempt is over.
@@ -105,15 +109,15 @@
   std::vector<std::uint32_t> m_prompt;
   // Tokens the caller was given, in order; never changed once there.
   std::vector<std::uint32_t> m_emitted;
-  ChainHold m_chain;
+  ChainReservation m_chain;
   // Inputs of this attempt that have passed the last stage.
-  std::uint32_t m_done = 0;
+  std::uint32_t m_processedInputs = 0;
   bool m_callerSlow = false;
   std::vector<std::string> m_excluded;
   // When the step was sent that last stayed unanswered.
-  TimePoint m_silentSince;
+  TimePoint m_unansweredSince;
   // When a chain or the budget is asked again, or max while neither is due.
-  TimePoint m_askAgainAt = TimePoint::max();
+  TimePoint m_retryAt = TimePoint::max();
   std::string m_lastFailure;
   std::vector<StreamAction> m_actions;
 };
--- a/Source/Routing/WaitingRequest.h
+++ b/Source/Routing/WaitingRequest.h
@@ -9,7 +9,7 @@
 
 namespace parsleycove {
 
-class AccountShare;
+class AccountQueue;
 
 struct ByDeadline;
 struct ByLatestStart;
@@ -21,7 +21,7 @@
   , boost::intrusive::set_base_hook<boost::intrusive::tag<ByLatestStart>>
 {
   std::uint64_t m_id = 0;
-  AccountShare* m_account = nullptr;
+  AccountQueue* m_account = nullptr;
   std::size_t m_class = 0;
   double m_cost = 0;
   TimePoint m_deadline;
@@ -29,7 +29,7 @@
   TimePoint m_latestStart;
 };
 
-struct IsDueEarlier
+struct HasEarlierDeadline
 {
   bool operator()(const WaitingRequest& aLeft,
                   const WaitingRequest& aRight) const
@@ -47,13 +47,13 @@
   }
 };
 
-using DeadlineOrder = boost::intrusive::multiset<
+using RequestsByDeadline = boost::intrusive::multiset<
   WaitingRequest,
   boost::intrusive::base_hook<
     boost::intrusive::set_base_hook<boost::intrusive::tag<ByDeadline>>>,
-  boost::intrusive::compare<IsDueEarlier>>;
+  boost::intrusive::compare<HasEarlierDeadline>>;
 
-using LatestStartOrder = boost::intrusive::multiset<
+using RequestsByLatestStart = boost::intrusive::multiset<
   WaitingRequest,
   boost::intrusive::base_hook<
     boost::intrusive::set_base_hook<boost::intrusive::tag<ByLatestStart>>>,
--- a/Source/Routing/WindowedBudget.cxx
+++ b/Source/Routing/WindowedBudget.cxx
@@ -9,7 +9,7 @@
 
 // Part of the slack that a process has at its start; less than the caution
 // leaves.
-constexpr double kFirstPart = 0.12;
+constexpr double kInitialSlackFraction = 0.12;
 
 } // namespace
 
@@ -32,7 +32,7 @@
   for (std::int64_t i = 1; i <= passed; ++i) {
     Slice& old = m_slices[static_cast<std::size_t>(m_slice + i) % kSlices];
     m_requests -= old.m_requests;
-    m_repeats -= old.m_repeats;
+    m_retries -= old.m_retries;
     old = {};
   }
   m_slice = std::max(m_slice, slice);
@@ -47,25 +47,25 @@
 }
 
 double
-WindowedBudget::Left(TimePoint aNow, std::uint32_t aGateways)
+WindowedBudget::Remaining(TimePoint aNow, std::uint32_t aGateways)
 {
   Advance(aNow);
   const double grown =
     std::chrono::duration<double>(aNow - m_startedAt) / m_settings.m_window;
   const double part = m_settings.m_slack / std::max(1U, aGateways) *
-                      std::clamp(grown, kFirstPart, 1.0);
-  return m_settings.m_caution * (m_settings.m_ratio * m_requests + part) -
-         m_repeats;
+                      std::clamp(grown, kInitialSlackFraction, 1.0);
+  return m_settings.m_safetyFactor * (m_settings.m_ratio * m_requests + part) -
+         m_retries;
 }
 
 bool
 WindowedBudget::Spend(TimePoint aNow, std::uint32_t aGateways)
 {
-  if (Left(aNow, aGateways) < 1) {
+  if (Remaining(aNow, aGateways) < 1) {
     return false;
   }
-  ++m_slices[static_cast<std::size_t>(m_slice) % kSlices].m_repeats;
-  ++m_repeats;
+  ++m_slices[static_cast<std::size_t>(m_slice) % kSlices].m_retries;
+  ++m_retries;
   return true;
 }
 
--- a/Source/Routing/WindowedBudget.h
+++ b/Source/Routing/WindowedBudget.h
@@ -20,7 +20,7 @@
   double m_slack = 100;
   // Part of both that is used; the rest covers gateways that have joined and
   // are not counted yet.
-  double m_caution = 0.85;
+  double m_safetyFactor = 0.85;
 };
 
 // What an earlier process of this VM spent is not known, so the slack grows
@@ -38,13 +38,13 @@
   // Pays for one repeat; false when the budget is spent. aGateways: size of
   // the fleet, at least 1.
   bool Spend(TimePoint aNow, std::uint32_t aGateways);
-  double Left(TimePoint aNow, std::uint32_t aGateways);
+  double Remaining(TimePoint aNow, std::uint32_t aGateways);
 
 private:
   struct Slice
   {
     std::uint32_t m_requests = 0;
-    std::uint32_t m_repeats = 0;
+    std::uint32_t m_retries = 0;
   };
   static constexpr std::size_t kSlices = 20;
 
@@ -56,7 +56,7 @@
   TimePoint m_startedAt{};
   // Sums over m_slices.
   std::uint32_t m_requests = 0;
-  std::uint32_t m_repeats = 0;
+  std::uint32_t m_retries = 0;
 };
 
 } // namespace parsleycove
--- a/Tests/Bench/Decision/DecisionBench.cxx
+++ b/Tests/Bench/Decision/DecisionBench.cxx
@@ -60,7 +60,7 @@
     for (const auto& row : kPlannerKindNames) {
       const auto planner = MakePlanner(row.m_value, BenchRegions::Two, aSeed);
       ChainRequest request;
-      request.m_ownZone = BenchZone(1);
+      request.m_gatewayZone = BenchZone(1);
       request.m_promptTokens = 400;
       request.m_expectedTokens = 200;
       const Cost cost = MeasureCost(kRuns, [&](std::size_t aRun) {
@@ -115,8 +115,7 @@
     request.m_id = ++id;
     request.m_account = accounts[random.Below(kAccounts)];
     request.m_deadline = now + std::chrono::seconds(60);
-    if (controller.Submit(now, request).m_verdict ==
-        AdmissionVerdict::Admitted) {
+    if (controller.Submit(now, request).m_status == AdmissionStatus::Admitted) {
       running.push_back(id);
     }
     if (aRun % 2 == 0 && !running.empty()) {
--- a/Tests/Bench/Decision/PipelineModel.cxx
+++ b/Tests/Bench/Decision/PipelineModel.cxx
@@ -12,7 +12,7 @@
 
 #include "Routing/AdmissionController.h"
 #include "Routing/FlowBound.h"
-#include "Routing/StreamMachine.h"
+#include "Routing/StreamStateMachine.h"
 
 namespace parsleycove {
 
@@ -55,7 +55,7 @@
   std::size_t m_gateway = 0;
   TimePoint m_sentAt;
   TimePoint m_firstTokenAt;
-  std::unique_ptr<StreamMachine> m_machine;
+  std::unique_ptr<StreamStateMachine> m_machine;
   bool m_hit = false;
   bool m_recovered = false;
 };
@@ -180,11 +180,11 @@
     request.m_targets = { "answers", kFirstToken, kInterval, kCompletion, 950 };
     request.m_cost = kTokens;
     request.m_deadline = m_now + kCompletion;
-    const AdmissionAnswer answer =
+    const AdmissionDecision answer =
       m_gateways[stream.m_gateway].m_admission.Submit(m_now, request);
-    if (answer.m_verdict == AdmissionVerdict::Admitted) {
+    if (answer.m_status == AdmissionStatus::Admitted) {
       Begin(stream);
-    } else if (answer.m_verdict == AdmissionVerdict::Refused) {
+    } else if (answer.m_status == AdmissionStatus::Refused) {
       Refuse(id);
     }
   }
@@ -198,7 +198,7 @@
   void TakeReady(Gateway& aGateway)
   {
     const AdmissionBatch batch = aGateway.m_admission.TakeReady(m_now);
-    for (const AdmissionRefused& refused : batch.m_refused) {
+    for (const RefusedRequest& refused : batch.m_refused) {
       Refuse(refused.m_id);
     }
     for (const std::uint64_t id : batch.m_start) {
@@ -214,7 +214,7 @@
     };
     settings.m_deadline = aStream.m_sentAt + 2 * kCompletion;
     settings.m_maxTokens = kTokens;
-    aStream.m_machine = std::make_unique<StreamMachine>(
+    aStream.m_machine = std::make_unique<StreamStateMachine>(
       settings, &m_gateways[aStream.m_gateway].m_budget);
     aStream.m_machine->OnTokenized(
       m_now, std::vector<std::uint32_t>(kPromptTokens, 1));
@@ -253,7 +253,7 @@
     request.m_promptTokens = aNeed.m_promptTokens;
     request.m_expectedTokens = aNeed.m_expectedTokens;
     request.m_excluded = aNeed.m_excluded;
-    request.m_ownZone = gateway.m_zone;
+    request.m_gatewayZone = gateway.m_zone;
     request.m_answeredSince = aNeed.m_answeredSince;
     auto chain = gateway.m_planner->Plan(m_now, *gateway.m_table, request);
     if (chain) {
@@ -266,8 +266,8 @@
   Duration LinkOf(std::size_t aGateway, std::size_t aRunner) const
   {
     const Gateway& gateway = m_gateways[aGateway];
-    return m_links.OneWay(gateway.m_zone,
-                          gateway.m_table->Runners()[aRunner]->m_zone);
+    return m_links.OneWayLatency(gateway.m_zone,
+                                 gateway.m_table->Runners()[aRunner]->m_zone);
   }
 
   void Send(Stream& aStream, const SendStep& aSend)
--- a/Tests/Consensus/ReplicaFaultTest.cxx
+++ b/Tests/Consensus/ReplicaFaultTest.cxx
@@ -48,7 +48,7 @@
   const std::uint64_t deliveries = cluster.Deliveries();
   const bool healed = cluster.Heal() && cluster.Read();
   const std::string text = Describe(aFaults, aCount, aSeed);
-  STRCMP_EQUAL_TEXT("", cluster.Broken().c_str(), text.c_str());
+  STRCMP_EQUAL_TEXT("", cluster.FirstViolation().c_str(), text.c_str());
   CHECK_TEXT(done, text.c_str());
   CHECK_TEXT(healed, text.c_str());
   return deliveries;
@@ -137,7 +137,7 @@
         aCluster.At(leader).m_replica->Propose(aCluster.Now(), { value });
       }
     }
-    // The snapshot is replaced while its pieces may be on their way.
+    // The snapshot is replaced while its chunks may be on their way.
     for (std::uint8_t value = 24; value < 28; ++value) {
       done = done && aCluster.Commit(value);
       for (auto& [id, node] : aCluster.Nodes()) {
--- a/Tests/Consensus/ReplicaTrapTest.cxx
+++ b/Tests/Consensus/ReplicaSafetyTest.cxx
@@ -53,10 +53,10 @@
 }
 
 void
-CheckWhole(TestCluster& aCluster)
+CheckRecovers(TestCluster& aCluster)
 {
   CHECK(aCluster.Heal());
-  STRCMP_EQUAL("", aCluster.Broken().c_str());
+  STRCMP_EQUAL("", aCluster.FirstViolation().c_str());
 }
 
 std::uint64_t
@@ -155,9 +155,9 @@
 
 } // namespace
 
-TEST_GROUP(ReplicaTrap){};
+TEST_GROUP(ReplicaSafety){};
 
-TEST(ReplicaTrap, EntryOfAnOlderTermCommitsOnlyWithOneOfTheOwn)
+TEST(ReplicaSafety, EntryOfAnOlderTermCommitsOnlyWithOneOfTheOwn)
 {
   TestCluster cluster(3, 1);
   Replica leader(cluster.Options(1), MakeLog(cluster), cluster.Now());
@@ -178,7 +178,7 @@
   CHECK_EQUAL(1, leader.TakeReady().m_reads.size());
 }
 
-TEST(ReplicaTrap, ReadWithoutALeaseWaitsForAQuorumAskedAfterIt)
+TEST(ReplicaSafety, ReadWithoutALeaseWaitsForAQuorumAskedAfterIt)
 {
   TestCluster cluster(3, 1);
   Replica leader(cluster.Options(1), MakeLog(cluster), cluster.Now());
@@ -202,7 +202,7 @@
   CHECK(answered.m_reads.front().m_ok);
 }
 
-TEST(ReplicaTrap, ReadsFailAtOnceWhenTheLeaderStepsDown)
+TEST(ReplicaSafety, ReadsFailAtOnceWhenTheLeaderStepsDown)
 {
   TestCluster cluster(3, 1);
   Replica leader(cluster.Options(1), MakeLog(cluster), cluster.Now());
@@ -217,7 +217,7 @@
   CHECK_FALSE(ready.m_reads.front().m_ok);
 }
 
-TEST(ReplicaTrap, VoteGoesOnlyToALogThatIsUpToDate)
+TEST(ReplicaSafety, VoteGoesOnlyToALogThatIsUpToDate)
 {
   TestCluster cluster(3, 1);
   Replica voter(cluster.Options(1), MakeLog(cluster), cluster.Now());
@@ -235,7 +235,7 @@
   CHECK(Grants(voter, now, MakeMessage(2, 1, vote)));
 }
 
-TEST(ReplicaTrap, OwnVoteCountsOnceItIsStored)
+TEST(ReplicaSafety, OwnVoteCountsOnceItIsStored)
 {
   TestCluster cluster(1, 1);
   const TimePoint start = cluster.Now();
@@ -249,18 +249,18 @@
   CHECK(alone.Role() == ReplicaRole::Leader);
 }
 
-TEST(ReplicaTrap, PromisesNothingWhileASnapshotIsInstalled)
+TEST(ReplicaSafety, PromisesNothingWhileASnapshotIsInstalled)
 {
   TestCluster cluster(3, 1);
   const TimePoint now = cluster.Now();
   Replica follower(cluster.Options(1), MakeLog(cluster), now);
-  consensus::InstallSnapshotT piece;
-  piece.term = 3;
-  piece.meta = std::make_unique<consensus::SnapshotMetaT>();
-  piece.meta->index = 50;
-  piece.meta->term = 3;
-  piece.last = true;
-  follower.Step(now, MakeMessage(2, 1, piece));
+  consensus::InstallSnapshotT chunk;
+  chunk.term = 3;
+  chunk.meta = std::make_unique<consensus::SnapshotMetaT>();
+  chunk.meta->index = 50;
+  chunk.meta->term = 3;
+  chunk.last = true;
+  follower.Step(now, MakeMessage(2, 1, chunk));
   CHECK_EQUAL(1, follower.TakeReady().m_chunks.size());
   follower.Persisted(now);
   consensus::AppendT append;
@@ -274,11 +274,11 @@
   const Ready ready = follower.TakeReady();
   CHECK_EQUAL(0, ready.m_entries.size());
   CHECK_EQUAL(0, ready.m_messages.back().body.AsAppendReply()->match_index);
-  follower.SnapshotInstalled(now, *piece.meta);
+  follower.SnapshotInstalled(now, *chunk.meta);
   CHECK_EQUAL(50, follower.LastIndex());
 }
 
-TEST(ReplicaTrap, SecondLossRightAfterARepairLosesNothing)
+TEST(ReplicaSafety, SecondLossRightAfterARepairLosesNothing)
 {
   for (std::uint64_t first = 1; first <= 3; ++first) {
     for (std::uint64_t second = 1; second <= 3; ++second) {
@@ -290,12 +290,12 @@
         cluster.Wipe(second);
       }
       CHECK(cluster.Commit(3));
-      CheckWhole(cluster);
+      CheckRecovers(cluster);
     }
   }
 }
 
-TEST(ReplicaTrap, NoMembershipChangeBeforeACommitOfTheOwnTerm)
+TEST(ReplicaSafety, NoMembershipChangeBeforeACommitOfTheOwnTerm)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
@@ -322,7 +322,7 @@
   CHECK(leader.LastReason().m_code == ReplicaError::NotNow);
 }
 
-TEST(ReplicaTrap, RemovedReplicaDoesNotDisturb)
+TEST(ReplicaSafety, RemovedReplicaDoesNotDisturb)
 {
   TestCluster cluster(5, 1);
   CHECK(cluster.Commit(1));
@@ -340,22 +340,22 @@
   CHECK_EQUAL(term, cluster.At(leader).m_replica->Term());
 }
 
-TEST(ReplicaTrap, ReplicaIsolatedForAnHourDoesNotDisturb)
+TEST(ReplicaSafety, ReplicaIsolatedForAnHourDoesNotDisturb)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
   const std::uint64_t leader = cluster.Leader();
   const std::uint64_t term = cluster.At(leader).m_replica->Term();
   Node& other = cluster.At(OtherThan(cluster, leader));
-  other.m_deafUntil = cluster.Now() + hours(1);
-  other.m_muteUntil = other.m_deafUntil;
+  other.m_inboundCutUntil = cluster.Now() + hours(1);
+  other.m_outboundCutUntil = other.m_inboundCutUntil;
   cluster.Run(hours(1) + seconds(5));
   CHECK_EQUAL(leader, cluster.Leader());
   CHECK_EQUAL(term, cluster.At(leader).m_replica->Term());
-  CheckWhole(cluster);
+  CheckRecovers(cluster);
 }
 
-TEST(ReplicaTrap, WipedDiskNeverVotesUnderItsOldIdentity)
+TEST(ReplicaSafety, WipedDiskNeverVotesUnderItsOldIdentity)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
@@ -372,7 +372,7 @@
   CHECK_FALSE(Grants(again, later, MakeMessage(1, 2, MakeVote(9))));
 }
 
-TEST(ReplicaTrap, NoVoteWithinAnElectionTimeoutOfTheStart)
+TEST(ReplicaSafety, NoVoteWithinAnElectionTimeoutOfTheStart)
 {
   TestCluster cluster(3, 1);
   const ReplicaOptions options = cluster.Options(2);
@@ -386,7 +386,7 @@
     Grants(restarted, soon + seconds(1), MakeMessage(3, 2, MakeVote(9))));
 }
 
-TEST(ReplicaTrap, OneZoneNeverHoldsAMajority)
+TEST(ReplicaSafety, OneZoneNeverHoldsAMajority)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
@@ -402,7 +402,7 @@
   CHECK_FALSE(fresh.Bootstrap(members));
 }
 
-TEST(ReplicaTrap, LearnerIsPromotedOnlyOnceItHasStoredAll)
+TEST(ReplicaSafety, LearnerIsPromotedOnlyOnceItHasStoredAll)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
@@ -420,7 +420,7 @@
   CHECK(leader.ProposeMembership(cluster.Now(), promoted).has_value());
 }
 
-TEST(ReplicaTrap, LeaderThatWakesFromAFreezeServesNothing)
+TEST(ReplicaSafety, LeaderThatWakesFromAFreezeServesNothing)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
@@ -435,7 +435,7 @@
   CHECK(leader.Role() == ReplicaRole::Follower);
 }
 
-TEST(ReplicaTrap, EveryReadIsAnsweredWhenTheLeaderIsLost)
+TEST(ReplicaSafety, EveryReadIsAnsweredWhenTheLeaderIsLost)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
@@ -452,7 +452,7 @@
   CHECK(ready.m_reads.front().m_requestedAt == asked);
 }
 
-TEST(ReplicaTrap, NothingIsCountedBeforeItsSync)
+TEST(ReplicaSafety, NothingIsCountedBeforeItsSync)
 {
   TestCluster cluster(3, 1);
   CHECK(cluster.Commit(1));
--- a/Tests/Consensus/TestCluster.cxx
+++ b/Tests/Consensus/TestCluster.cxx
@@ -70,8 +70,8 @@
 void
 TestCluster::Expect(bool aHolds, const std::string& aWhat)
 {
-  if (!aHolds && m_broken.empty()) {
-    m_broken = aWhat + " at delivery " + std::to_string(m_deliveries);
+  if (!aHolds && m_firstViolation.empty()) {
+    m_firstViolation = aWhat + " at delivery " + std::to_string(m_deliveries);
   }
 }
 
@@ -79,7 +79,7 @@
 TestCluster::Run(Duration aFor)
 {
   const TimePoint end = m_now + aFor;
-  while (m_now < end && m_broken.empty()) {
+  while (m_now < end && m_firstViolation.empty()) {
     m_now = std::max(m_now, std::min(end, NextEvent()));
     DeliverDue();
     TickDue();
@@ -138,8 +138,8 @@
 {
   const auto sender = m_nodes.find(aEnvelope.m_message.from);
   const auto receiver = m_nodes.find(aEnvelope.m_message.to);
-  if (receiver == m_nodes.end() || m_now < sender->second.m_muteUntil ||
-      m_now < receiver->second.m_deafUntil) {
+  if (receiver == m_nodes.end() || m_now < sender->second.m_outboundCutUntil ||
+      m_now < receiver->second.m_inboundCutUntil) {
     return;
   }
   Node& node = receiver->second;
@@ -154,7 +154,7 @@
   ++m_deliveries;
   for (const PlannedFault& fault : m_plan) {
     if (fault.m_delivery == m_deliveries && fault.m_fault != Fault::None) {
-      Strike(fault.m_fault, aEnvelope);
+      InjectFault(fault.m_fault, aEnvelope);
       return;
     }
   }
@@ -164,7 +164,7 @@
 }
 
 void
-TestCluster::Strike(Fault aFault, const Envelope& aEnvelope)
+TestCluster::InjectFault(Fault aFault, const Envelope& aEnvelope)
 {
   const std::uint64_t id = aEnvelope.m_message.to;
   Node& node = m_nodes.at(id);
@@ -184,12 +184,13 @@
       return;
     case Fault::CutIn:
     case Fault::CutBoth:
-      node.m_deafUntil = m_now + kFaultLength;
-      node.m_muteUntil =
-        aFault == Fault::CutBoth ? node.m_deafUntil : node.m_muteUntil;
+      node.m_inboundCutUntil = m_now + kFaultLength;
+      node.m_outboundCutUntil = aFault == Fault::CutBoth
+                                  ? node.m_inboundCutUntil
+                                  : node.m_outboundCutUntil;
       return;
     case Fault::CutOut:
-      node.m_muteUntil = m_now + kFaultLength;
+      node.m_outboundCutUntil = m_now + kFaultLength;
       break;
     case Fault::Duplicate:
       m_queue.push_back(std::move(later));
@@ -249,7 +250,7 @@
     SendChunk(aId, request);
   }
   for (const auto& chunk : ready.m_chunks) {
-    TakeChunk(aId, chunk);
+    ReceiveChunk(aId, chunk);
   }
   return true;
 }
@@ -270,34 +271,34 @@
   if (aRequest.m_index != disk.BaseIndex()) {
     return;
   }
-  consensus::InstallSnapshotT piece;
-  piece.meta = std::make_unique<consensus::SnapshotMetaT>(*disk.m_snapshot);
-  piece.offset =
+  consensus::InstallSnapshotT chunk;
+  chunk.meta = std::make_unique<consensus::SnapshotMetaT>(*disk.m_snapshot);
+  chunk.offset =
     std::min<std::uint64_t>(aRequest.m_offset, disk.m_state.size());
   const std::size_t size =
-    std::min(kChunkBytes, disk.m_state.size() - piece.offset);
-  const auto begin = disk.m_state.begin() + piece.offset;
-  piece.data.assign(begin, begin + size);
-  piece.last = piece.offset + size == disk.m_state.size();
-  node.m_replica->SendSnapshotChunk(aRequest.m_to, std::move(piece));
+    std::min(kChunkBytes, disk.m_state.size() - chunk.offset);
+  const auto begin = disk.m_state.begin() + chunk.offset;
+  chunk.data.assign(begin, begin + size);
+  chunk.last = chunk.offset + size == disk.m_state.size();
+  node.m_replica->SendSnapshotChunk(aRequest.m_to, std::move(chunk));
 }
 
 void
-TestCluster::TakeChunk(std::uint64_t aId, const SnapshotChunk& aChunk)
+TestCluster::ReceiveChunk(std::uint64_t aId, const SnapshotChunk& aChunk)
 {
   Node& node = m_nodes.at(aId);
-  const auto& piece = aChunk.m_piece;
-  node.m_received.resize(piece.offset);
+  const auto& chunk = aChunk.m_chunk;
+  node.m_received.resize(chunk.offset);
   node.m_received.insert(
-    node.m_received.end(), piece.data.begin(), piece.data.end());
-  if (!piece.last) {
+    node.m_received.end(), chunk.data.begin(), chunk.data.end());
+  if (!chunk.last) {
     return;
   }
   // The state is one byte for each entry of the log.
-  Expect(node.m_received.size() == piece.meta->index, "broken snapshot");
-  node.m_disk.Install(*piece.meta, node.m_received, false);
-  node.m_applied = piece.meta->index;
-  node.m_replica->SnapshotInstalled(m_now, *piece.meta);
+  Expect(node.m_received.size() == chunk.meta->index, "broken snapshot");
+  node.m_disk.Install(*chunk.meta, node.m_received, false);
+  node.m_applied = chunk.meta->index;
+  node.m_replica->SnapshotInstalled(m_now, *chunk.meta);
 }
 
 void
--- a/Tests/Consensus/TestCluster.h
+++ b/Tests/Consensus/TestCluster.h
@@ -45,8 +45,8 @@
   std::vector<std::uint8_t> m_received; // of a snapshot under way
   TimePoint m_frozenUntil{};
   TimePoint m_downUntil{};
-  TimePoint m_deafUntil{};
-  TimePoint m_muteUntil{};
+  TimePoint m_inboundCutUntil{};
+  TimePoint m_outboundCutUntil{};
   bool m_wiped = false; // gone for good
 };
 
@@ -86,7 +86,7 @@
   TimePoint Now() const { return m_now; }
   ReplicaOptions Options(std::uint64_t aId) const;
   // What was broken first, or empty.
-  const std::string& Broken() const { return m_broken; }
+  const std::string& FirstViolation() const { return m_firstViolation; }
 
 private:
   struct Envelope
@@ -104,10 +104,10 @@
   void DeliverDue();
   void TickDue();
   void Deliver(Envelope aEnvelope);
-  void Strike(Fault aFault, const Envelope& aEnvelope);
+  void InjectFault(Fault aFault, const Envelope& aEnvelope);
   void Pump(std::uint64_t aId);
   bool PumpOnce(std::uint64_t aId);
-  void TakeChunk(std::uint64_t aId, const SnapshotChunk& aChunk);
+  void ReceiveChunk(std::uint64_t aId, const SnapshotChunk& aChunk);
   void SendChunk(std::uint64_t aId, const SnapshotChunkRequest& aRequest);
   void Send(std::vector<consensus::PeerMessageT>& aMessages);
   void CheckApplied(Node& aNode, const consensus::EntryT& aEntry);
@@ -131,7 +131,7 @@
   std::map<std::uint64_t, PendingRead> m_reads;
   std::uint64_t m_nextRead = 1;
   bool m_disksChanged = false; // since the logs were last compared
-  std::string m_broken;
+  std::string m_firstViolation;
 };
 
 } // namespace parsleycove::test
--- a/Tests/Consensus/TestClusterActions.cxx
+++ b/Tests/Consensus/TestClusterActions.cxx
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr Duration kTryLength = milliseconds(50);
-constexpr Duration kPatience = seconds(30);
+constexpr Duration kRetryInterval = milliseconds(50);
+constexpr Duration kActionTimeout = seconds(30);
 
 } // namespace
 
@@ -31,8 +31,8 @@
 bool
 TestCluster::Commit(std::uint8_t aValue)
 {
-  const TimePoint end = m_now + kPatience;
-  while (m_now < end && m_broken.empty()) {
+  const TimePoint end = m_now + kActionTimeout;
+  while (m_now < end && m_firstViolation.empty()) {
     const std::uint64_t leader = Leader();
     const auto index =
       leader ? m_nodes.at(leader).m_replica->Propose(m_now, { aValue })
@@ -41,7 +41,7 @@
       Pump(leader);
     }
     for (int i = 0; i < 5; ++i) {
-      Run(kTryLength);
+      Run(kRetryInterval);
       const auto found = m_committed.find(index.value_or(0));
       if (found != m_committed.end() &&
           found->second.data == std::vector{ aValue }) {
@@ -55,11 +55,11 @@
 bool
 TestCluster::Read()
 {
-  const TimePoint end = m_now + kPatience;
+  const TimePoint end = m_now + kActionTimeout;
   bool ok = true;
   for (auto& [id, node] : m_nodes) {
     bool answered = !IsRunning(node) || !FindMember(Members(), id);
-    while (!answered && m_now < end && m_broken.empty()) {
+    while (!answered && m_now < end && m_firstViolation.empty()) {
       if (!IsRunning(node)) {
         break;
       }
@@ -68,7 +68,7 @@
       m_reads[request.id].m_floor = m_acknowledged;
       node.m_replica->ReadIndex(m_now, request);
       Pump(id);
-      Run(kTryLength);
+      Run(kRetryInterval);
       const auto& answer = m_reads[request.id].m_answer;
       answered = answer && answer->m_ok;
     }
@@ -118,8 +118,8 @@
 TestCluster::ChangeMembership(consensus::MembershipT aNext)
 {
   SortMembers(aNext);
-  const TimePoint end = m_now + kPatience;
-  while (m_now < end && m_broken.empty()) {
+  const TimePoint end = m_now + kActionTimeout;
+  while (m_now < end && m_firstViolation.empty()) {
     const std::uint64_t leader = Leader();
     if (leader) {
       const Replica& replica = *m_nodes.at(leader).m_replica;
@@ -131,7 +131,7 @@
       m_nodes.at(leader).m_replica->ProposeMembership(m_now, aNext);
       Pump(leader);
     }
-    Run(kTryLength);
+    Run(kRetryInterval);
   }
   return false;
 }
@@ -143,7 +143,7 @@
   m_nodes[id].m_zone = aZone;
   Restart(id);
   for (int i = 0; i < 100 && !Leader(); ++i) {
-    Run(kTryLength);
+    Run(kRetryInterval);
   }
   const bool joined = ChangeMembership(With(id, aZone, false));
   return joined ? id : 0;
@@ -155,7 +155,7 @@
   const std::string zone = m_nodes.at(aOld).m_zone;
   for (;;) {
     const std::uint64_t id = Join(zone);
-    if (id == 0 || !m_broken.empty()) {
+    if (id == 0 || !m_firstViolation.empty()) {
       return false;
     }
     if (ChangeMembership(With(id, zone, true))) {
@@ -214,8 +214,8 @@
 {
   m_plan.clear();
   for (auto& [id, node] : m_nodes) {
-    node.m_deafUntil = m_now;
-    node.m_muteUntil = m_now;
+    node.m_inboundCutUntil = m_now;
+    node.m_outboundCutUntil = m_now;
     node.m_frozenUntil = std::min(node.m_frozenUntil, m_now);
     node.m_downUntil = std::min(node.m_downUntil, m_now);
   }
@@ -236,9 +236,9 @@
   if (!Commit(0xFF)) {
     return false;
   }
-  const TimePoint end = m_now + kPatience;
-  while (!IsCaughtUp() && m_now < end && m_broken.empty()) {
-    Run(kTryLength);
+  const TimePoint end = m_now + kActionTimeout;
+  while (!IsCaughtUp() && m_now < end && m_firstViolation.empty()) {
+    Run(kRetryInterval);
   }
   return IsCaughtUp();
 }
--- a/Tests/Control/MembershipRepairTest.cxx
+++ b/Tests/Control/MembershipRepairTest.cxx
@@ -41,11 +41,11 @@
   MembershipRepair m_repair{ { 5, std::chrono::seconds(3) } };
 
   // All but aSilent are heard at aMs.
-  void Hear(int aMs, std::uint64_t aMembers, std::uint64_t aSilent)
+  void RecordMessages(int aMs, std::uint64_t aMembers, std::uint64_t aSilent)
   {
     for (std::uint64_t i = 2; i <= aMembers; ++i) {
       if (i != aSilent) {
-        m_repair.NoteHeard(At(aMs), i);
+        m_repair.RecordMessage(At(aMs), i);
       }
     }
   }
@@ -55,49 +55,52 @@
 TEST(MembershipRepair, WantsVotersUpToTheTarget)
 {
   m_repair.Start(At(0));
-  CHECK(m_repair.WantsVoter(At(0), MakeGroup(3, 1), kSelf));
-  CHECK_FALSE(m_repair.WantsVoter(At(0), MakeGroup(5, 1), kSelf));
+  CHECK(m_repair.NeedsVoter(At(0), MakeGroup(3, 1), kSelf));
+  CHECK_FALSE(m_repair.NeedsVoter(At(0), MakeGroup(5, 1), kSelf));
 }
 
 TEST(MembershipRepair, WantsOneMoreForAVoterThatIsSilent)
 {
   m_repair.Start(At(0));
-  Hear(4000, 6, 3);
-  CHECK(m_repair.WantsVoter(At(4000), MakeGroup(5, 1), kSelf));
-  CHECK_FALSE(m_repair.WantsVoter(At(4000), MakeGroup(6), kSelf));
+  RecordMessages(4000, 6, 3);
+  CHECK(m_repair.NeedsVoter(At(4000), MakeGroup(5, 1), kSelf));
+  CHECK_FALSE(m_repair.NeedsVoter(At(4000), MakeGroup(6), kSelf));
 }
 
 TEST(MembershipRepair, RemovesASilentVoterOnlyOnceItsReplacementVotes)
 {
   m_repair.Start(At(0));
-  Hear(4000, 6, 3);
-  CHECK_EQUAL(0U, m_repair.FindLost(At(4000), MakeGroup(5, 1), kSelf));
-  CHECK_EQUAL(3U, m_repair.FindLost(At(4000), MakeGroup(6), kSelf));
+  RecordMessages(4000, 6, 3);
+  CHECK_EQUAL(0U,
+              m_repair.FindMemberToRemove(At(4000), MakeGroup(5, 1), kSelf));
+  CHECK_EQUAL(3U, m_repair.FindMemberToRemove(At(4000), MakeGroup(6), kSelf));
 }
 
 TEST(MembershipRepair, ANewLeaderDoesNotCountSilenceBeforeItsTerm)
 {
   m_repair.Start(At(0));
-  Hear(100, 6, 0);
+  RecordMessages(100, 6, 0);
   m_repair.Start(At(9000));
-  CHECK_EQUAL(0U, m_repair.FindLost(At(9100), MakeGroup(6), kSelf));
+  CHECK_EQUAL(0U, m_repair.FindMemberToRemove(At(9100), MakeGroup(6), kSelf));
 }
 
 TEST(MembershipRepair, RemovesALearnerThatNeverCame)
 {
   m_repair.Start(At(0));
-  Hear(8000, 5, 0);
-  CHECK_EQUAL(0U, m_repair.FindLost(At(8000), MakeGroup(5, 1), kSelf));
-  Hear(9500, 5, 0);
-  CHECK_EQUAL(6U, m_repair.FindLost(At(9500), MakeGroup(5, 1), kSelf));
+  RecordMessages(8000, 5, 0);
+  CHECK_EQUAL(0U,
+              m_repair.FindMemberToRemove(At(8000), MakeGroup(5, 1), kSelf));
+  RecordMessages(9500, 5, 0);
+  CHECK_EQUAL(6U,
+              m_repair.FindMemberToRemove(At(9500), MakeGroup(5, 1), kSelf));
 }
 
 TEST(MembershipRepair, WithoutATargetOperatorsChangeMembers)
 {
   MembershipRepair repair({ 0, std::chrono::seconds(3) });
   repair.Start(At(0));
-  CHECK(repair.WantsVoter(At(0), MakeGroup(5, 1), kSelf));
-  CHECK_EQUAL(0U, repair.FindLost(At(60000), MakeGroup(6), kSelf));
+  CHECK(repair.NeedsVoter(At(0), MakeGroup(5, 1), kSelf));
+  CHECK_EQUAL(0U, repair.FindMemberToRemove(At(60000), MakeGroup(6), kSelf));
 }
 
 // clang-format off
--- a/Tests/Control/RepairEndToEndTest.cxx
+++ b/Tests/Control/RepairEndToEndTest.cxx
@@ -6,7 +6,7 @@
 #include <boost/asio/io_context.hpp>
 
 #include "Control/Cluster.h"
-#include "Control/GroupMember.h"
+#include "Control/GroupMembershipClient.h"
 
 // Last, since its leak macros redefine new.
 #include <CppUTest/TestHarness.h>
@@ -59,7 +59,7 @@
       auto& options = m_cluster.Options(i);
       options.m_targetVoters = aTarget;
       options.m_minDocumentVoters = aTarget;
-      options.m_memberSilence = std::chrono::milliseconds(1500);
+      options.m_memberTimeout = std::chrono::milliseconds(1500);
       m_cluster.Start(i, /*aBootstrap=*/true);
     }
     m_client = std::make_unique<ControlClient>(
@@ -126,10 +126,10 @@
   const std::size_t spare = m_cluster.AddSpare(77, "zone-z");
   m_cluster.Start(spare);
   boost::asio::io_context context;
-  GroupMember member(context,
-                     *m_client,
-                     Describe(spare),
-                     [](ControlLogLevel, const std::string&) {});
+  GroupMembershipClient member(context,
+                               *m_client,
+                               Describe(spare),
+                               [](ControlLogLevel, const std::string&) {});
   member.Start();
   const bool repaired = WaitUntil([&] {
     context.poll();
--- a/Tests/Control/ReplicaCoreFaultTest.cxx
+++ b/Tests/Control/ReplicaCoreFaultTest.cxx
@@ -65,11 +65,11 @@
   return command;
 }
 
-// One life of the replica, between a start and a loss of power.
-class Life
+// One run of the replica, between a start and a loss of power.
+class ReplicaRun
 {
 public:
-  explicit Life(MemoryFiles& aFiles)
+  explicit ReplicaRun(MemoryFiles& aFiles)
   {
     ReplicaCoreOptions options;
     options.m_replica.m_replica = 1;
@@ -81,12 +81,12 @@
   }
 
   // True once it leads; false when its store has failed.
-  bool Lead()
+  bool BecomeLeader()
   {
     for (int i = 0; m_core && i < kMaxTicks; ++i) {
       m_now += kTickMs;
       m_core->Tick(m_now);
-      if (!m_core->Drive(m_now)) {
+      if (!m_core->ProcessReady(m_now)) {
         return false;
       }
       if (m_core->Log().Role() == ReplicaRole::Leader) {
@@ -105,7 +105,7 @@
                     [&](const std::optional<state::CommandResultT>& aResult) {
                       applied = aResult.has_value();
                     });
-    m_core->Drive(m_now);
+    m_core->ProcessReady(m_now);
     return applied;
   }
 
@@ -118,20 +118,20 @@
 std::vector<int>
 RunUntilFault(MemoryFiles& aFiles)
 {
-  Life life(aFiles);
+  ReplicaRun run(aFiles);
   std::vector<int> acknowledged;
-  if (!life.Lead()) {
+  if (!run.BecomeLeader()) {
     return acknowledged;
   }
   for (int i = 0; i < kProposals; ++i) {
-    const bool failed = life.m_listener.m_fatal != 0;
-    if (life.Reserve(i)) {
+    const bool failed = run.m_listener.m_fatal != 0;
+    if (run.Reserve(i)) {
       // Nothing is promised any more once the store has failed.
       CHECK_FALSE(failed);
       acknowledged.push_back(i);
     }
   }
-  CHECK(life.m_listener.m_fatal <= 1);
+  CHECK(run.m_listener.m_fatal <= 1);
   return acknowledged;
 }
 
@@ -152,9 +152,9 @@
       whole = files.Operations() < operation ? acknowledged.size() : 0;
       files.FailAt(0, aFault);
       files.LosePower(0);
-      Life next(files);
+      ReplicaRun next(files);
       CHECK(next.m_core != nullptr);
-      CHECK(next.Lead());
+      CHECK(next.BecomeLeader());
       for (const int key : acknowledged) {
         CHECK(next.m_core->State().FindAction(
                 "account", std::to_string(key)) != nullptr);
--- a/Tests/Control/ReplicaPartsTest.cxx
+++ b/Tests/Control/ReplicaPartsTest.cxx
@@ -4,12 +4,12 @@
 #include <vector>
 
 #include "Control/DeltaRing.h"
-#include "Control/LeaderDuties.h"
+#include "Control/FailureReportFilter.h"
+#include "Control/LeaderMaintenance.h"
 #include "Control/LeaseKey.h"
-#include "Control/ProposalTable.h"
-#include "Control/ReadTable.h"
+#include "Control/PendingProposals.h"
+#include "Control/PendingReads.h"
 #include "Control/SnapshotAssembler.h"
-#include "Control/SuspicionFilter.h"
 
 // Last, since its leak macros redefine new.
 #include <CppUTest/TestHarness.h>
@@ -31,26 +31,26 @@
 }
 
 consensus::InstallSnapshotT
-MakePiece(std::uint64_t aIndex,
+MakeChunk(std::uint64_t aIndex,
           std::uint64_t aOffset,
           const std::vector<std::uint8_t>& aData,
           bool aLast)
 {
-  consensus::InstallSnapshotT piece;
-  piece.meta = std::make_unique<consensus::SnapshotMetaT>();
-  piece.meta->index = aIndex;
-  piece.meta->term = 1;
-  piece.offset = aOffset;
-  piece.data = aData;
-  piece.last = aLast;
-  return piece;
+  consensus::InstallSnapshotT chunk;
+  chunk.meta = std::make_unique<consensus::SnapshotMetaT>();
+  chunk.meta->index = aIndex;
+  chunk.meta->term = 1;
+  chunk.offset = aOffset;
+  chunk.data = aData;
+  chunk.last = aLast;
+  return chunk;
 }
 
 } // namespace
 
 TEST_GROUP(DeltaRing){};
 
-TEST_GROUP(SuspicionFilter){};
+TEST_GROUP(FailureReportFilter){};
 
 TEST(DeltaRing, GivesAllLaterDeltasOrNone)
 {
@@ -70,11 +70,11 @@
   CHECK_EQUAL(3, ring.After(11)->size());
 }
 
-TEST_GROUP(ProposalTable){};
+TEST_GROUP(PendingProposals){};
 
-TEST(ProposalTable, AnEntryOfAnotherTermIsNotTheProposal)
+TEST(PendingProposals, AnEntryOfAnotherTermIsNotTheProposal)
 {
-  ProposalTable table;
+  PendingProposals table;
   std::vector<bool> known;
   const auto note = [&](const std::optional<state::CommandResultT>& aResult) {
     known.push_back(aResult.has_value());
@@ -91,11 +91,11 @@
   CHECK((known == std::vector<bool>{ true, false, false }));
 }
 
-TEST_GROUP(ReadTable){};
+TEST_GROUP(PendingReads){};
 
-TEST(ReadTable, WaitsForTheStateAfterTheQuorum)
+TEST(PendingReads, WaitsForTheStateAfterTheQuorum)
 {
-  ReadTable table;
+  PendingReads table;
   std::vector<bool> answers;
   const auto note = [&](const ReadState& aRead) {
     answers.push_back(aRead.m_ok);
@@ -115,21 +115,21 @@
 TEST(SnapshotAssembler, TakesPiecesInOrderOfOneSnapshotOnly)
 {
   SnapshotAssembler assembler;
-  CHECK_FALSE(assembler.Add(MakePiece(5, 0, { 1, 2 }, false)).has_value());
+  CHECK_FALSE(assembler.Add(MakeChunk(5, 0, { 1, 2 }, false)).has_value());
   // Lost, repeated and foreign pieces never make a whole.
-  CHECK_FALSE(assembler.Add(MakePiece(5, 4, { 5 }, true)).has_value());
-  CHECK_FALSE(assembler.Add(MakePiece(6, 2, { 3 }, true)).has_value());
-  CHECK_FALSE(assembler.Add(MakePiece(5, 0, { 1, 2 }, false)).has_value());
-  CHECK_FALSE(assembler.Add(MakePiece(5, 0, { 1, 2 }, false)).has_value());
-  const auto whole = assembler.Add(MakePiece(5, 2, { 3 }, true));
+  CHECK_FALSE(assembler.Add(MakeChunk(5, 4, { 5 }, true)).has_value());
+  CHECK_FALSE(assembler.Add(MakeChunk(6, 2, { 3 }, true)).has_value());
+  CHECK_FALSE(assembler.Add(MakeChunk(5, 0, { 1, 2 }, false)).has_value());
+  CHECK_FALSE(assembler.Add(MakeChunk(5, 0, { 1, 2 }, false)).has_value());
+  const auto whole = assembler.Add(MakeChunk(5, 2, { 3 }, true));
   CHECK(whole.has_value());
   CHECK((whole->m_state == std::vector<std::uint8_t>{ 1, 2, 3 }));
 }
 
 // clang-format off
-TEST_GROUP(LeaderDuties)
+TEST_GROUP(LeaderMaintenance)
 {
-  LeaderDutiesOptions m_options;
+  LeaderMaintenanceOptions m_options;
   ReplicatedState m_state;
 
   // Reserves an action held by this process of the gateway.
@@ -150,32 +150,32 @@
 };
 // clang-format on
 
-TEST(LeaderDuties, OnlyGatewaysThatNoReplicaReportsAreGone)
+TEST(LeaderMaintenance, OnlyGatewaysThatNoReplicaReportsAreGone)
 {
   m_options.m_gatewayLease = std::chrono::milliseconds(100);
   Reserve("alive", 1);
   Reserve("dead", 7);
-  LeaderDuties duties(m_options, At(0), m_state.Config());
+  LeaderMaintenance maintenance(m_options, At(0), m_state.Config());
   // Until the lease is over they may have been reported to the last leader.
-  CHECK(duties.FindExpired(At(99), 5, m_state).empty());
+  CHECK(maintenance.FindExpired(At(99), 5, m_state).empty());
   consensus::ReadIndexT report;
   report.renewed.push_back(HashGateway("alive", 1));
   // A new process of the VM doesn't keep the old one alive.
   report.renewed.push_back(HashGateway("dead", 8));
-  duties.NoteReport(At(90), 2, report);
-  const auto commands = duties.FindExpired(At(100), 5, m_state);
+  maintenance.RecordReport(At(90), 2, report);
+  const auto commands = maintenance.FindExpired(At(100), 5, m_state);
   CHECK_EQUAL(1, commands.size());
   const auto* gone = commands[0].body.AsGatewayGone();
   CHECK(gone != nullptr);
   STRCMP_EQUAL("dead", gone->gateway.c_str());
   CHECK_EQUAL(7, gone->gateway_epoch);
-  CHECK_EQUAL(2, duties.FindExpired(At(190), 5, m_state).size());
+  CHECK_EQUAL(2, maintenance.FindExpired(At(190), 5, m_state).size());
 }
 
 // Load pattern: four engines die under ninety gateways.
-TEST(SuspicionFilter, OneReportOfEachDeadEndpointPasses)
+TEST(FailureReportFilter, OneReportOfEachDeadEndpointPasses)
 {
-  SuspicionFilter filter;
+  FailureReportFilter filter;
   state::ConfigImageT image;
   state::SuspectEndpointT report;
   report.endpoint = std::make_unique<state::EndpointRefT>();
@@ -186,7 +186,7 @@
       report.endpoint->id = "e" + std::to_string(engine);
       report.endpoint->incarnation = 1;
       const TimePoint now = start + std::chrono::milliseconds(gateway);
-      passed += filter.IsNew(now, image, report) ? 1 : 0;
+      passed += filter.AcceptReport(now, image, report) ? 1 : 0;
     }
   }
   CHECK_EQUAL(4, passed);
@@ -195,55 +195,56 @@
 // Load pattern: the links of an availability zone lose three packets in a
 // hundred for five seconds, and each of thirty gateways misses an answer of
 // some engine now and then.
-TEST(SuspicionFilter, AMissingAnswerCountsOnceAnotherGatewayMissesItToo)
+TEST(FailureReportFilter, AMissingAnswerCountsOnceAnotherGatewayMissesItToo)
 {
-  SuspicionFilter filter;
+  FailureReportFilter filter;
   state::ConfigImageT image;
   state::SuspectEndpointT report;
   report.endpoint = std::make_unique<state::EndpointRefT>();
   report.endpoint->id = "e1";
   const TimePoint start(std::chrono::seconds(100));
-  const auto isNew = [&](const std::string& aGateway, int aAtMs) {
+  const auto isAccepted = [&](const std::string& aGateway, int aAtMs) {
     report.unsure_gateway = aGateway;
-    return filter.IsNew(
+    return filter.AcceptReport(
       start + std::chrono::milliseconds(aAtMs), image, report);
   };
-  CHECK_FALSE(isNew("vm-1", 0));
-  CHECK_FALSE(isNew("vm-1", 100));
-  CHECK_FALSE(isNew("vm-2", 400)); // the first one is forgotten
-  CHECK(isNew("vm-3", 430));
-  CHECK_FALSE(isNew("vm-4", 440)); // under way
+  CHECK_FALSE(isAccepted("vm-1", 0));
+  CHECK_FALSE(isAccepted("vm-1", 100));
+  CHECK_FALSE(isAccepted("vm-2", 400)); // the first one is forgotten
+  CHECK(isAccepted("vm-3", 430));
+  CHECK_FALSE(isAccepted("vm-4", 440)); // under way
 }
 
-TEST(SuspicionFilter, AnotherStartIsAnotherReport)
+TEST(FailureReportFilter, AnotherStartIsAnotherReport)
 {
-  SuspicionFilter filter;
+  FailureReportFilter filter;
   state::ConfigImageT image;
   state::SuspectEndpointT report;
   report.endpoint = std::make_unique<state::EndpointRefT>();
   report.endpoint->id = "e1";
   report.endpoint->incarnation = 1;
   const TimePoint start(std::chrono::seconds(100));
-  CHECK(filter.IsNew(start, image, report));
+  CHECK(filter.AcceptReport(start, image, report));
   report.endpoint->incarnation = 2;
-  CHECK(filter.IsNew(start, image, report));
+  CHECK(filter.AcceptReport(start, image, report));
 }
 
-TEST(SuspicionFilter, AReportThatWasLostIsTakenAgain)
+TEST(FailureReportFilter, AReportThatWasLostIsTakenAgain)
 {
-  SuspicionFilter filter;
+  FailureReportFilter filter;
   state::ConfigImageT image;
   state::SuspectEndpointT report;
   report.endpoint = std::make_unique<state::EndpointRefT>();
   report.endpoint->id = "e1";
   const TimePoint start(std::chrono::seconds(100));
-  CHECK(filter.IsNew(start, image, report));
+  CHECK(filter.AcceptReport(start, image, report));
   CHECK_FALSE(
-    filter.IsNew(start + std::chrono::milliseconds(500), image, report));
-  CHECK(filter.IsNew(start + std::chrono::seconds(1), image, report));
+    filter.AcceptReport(start + std::chrono::milliseconds(500), image, report));
+  CHECK(filter.AcceptReport(start + std::chrono::seconds(1), image, report));
   auto listed = std::make_unique<state::EndpointT>();
   listed->id = "e1";
   listed->suspected = true;
   image.endpoints.push_back(std::move(listed));
-  CHECK_FALSE(filter.IsNew(start + std::chrono::seconds(5), image, report));
+  CHECK_FALSE(
+    filter.AcceptReport(start + std::chrono::seconds(5), image, report));
 }
--- a/Tests/Forwarding/ForwardFixture.cxx
+++ b/Tests/Forwarding/ForwardFixture.cxx
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::chrono::seconds kPatience{ 20 };
-constexpr std::chrono::milliseconds kSlice{ 5 };
+constexpr std::chrono::seconds kTestTimeout{ 20 };
+constexpr std::chrono::milliseconds kPollInterval{ 5 };
 
 constexpr char kConfig[] = R"({"routes":[
 {"name":"safe","host":"one.example","path-prefix":"/safe/","kind":"safe",
@@ -79,7 +79,7 @@
 }
 
 StubEndpoint&
-ForwardFixture::AddPlain()
+ForwardFixture::AddPlainEndpoint()
 {
   state::EndpointT endpoint;
   endpoint.kind = state::EndpointKind::PlainService;
@@ -149,12 +149,12 @@
 bool
 ForwardFixture::RunUntil(const std::function<bool()>& aCondition)
 {
-  const TimePoint deadline = BootClock::now() + kPatience;
+  const TimePoint deadline = BootClock::now() + kTestTimeout;
   while (!aCondition()) {
     if (BootClock::now() > deadline) {
       return false;
     }
-    m_context.run_one_for(kSlice);
+    m_context.run_one_for(kPollInterval);
     m_context.restart();
   }
   return true;
@@ -207,12 +207,12 @@
 std::string
 ForwardFixture::Ask(const std::string& aMethod,
                     const std::string& aPath,
-                    const std::string& aMore,
+                    const std::string& aExtraHeaders,
                     const std::string& aBody)
 {
   const auto caller = Connect();
-  caller->Send(
-    MakeRequest(aMethod, aPath, aMore + "Connection: close\r\n", aBody));
+  caller->Send(MakeRequest(
+    aMethod, aPath, aExtraHeaders + "Connection: close\r\n", aBody));
   if (!RunUntil([&] { return caller->IsClosed(); })) {
     return "no answer";
   }
@@ -222,7 +222,7 @@
 std::string
 MakeRequest(const std::string& aMethod,
             const std::string& aPath,
-            const std::string& aMore,
+            const std::string& aExtraHeaders,
             const std::string& aBody)
 {
   const std::string length =
@@ -231,7 +231,7 @@
   return aMethod + " " + aPath +
          " HTTP/1.1\r\nHost: one.example\r\nAttempt-Id: a1\r\n"
          "Deadline-Ms: 5000\r\nAuthorization: Bearer k1\r\n" +
-         aMore + length + "\r\n" + aBody;
+         aExtraHeaders + length + "\r\n" + aBody;
 }
 
 int
@@ -261,7 +261,7 @@
 }
 
 StubEndpoint::Script
-WithState(StubEndpoint::Script aScript)
+WithEngineState(StubEndpoint::Script aScript)
 {
   return [script = std::move(aScript)](const HttpRequest& aRequest) {
     if (aRequest.target() == "/parsleycove/report") {
@@ -277,7 +277,7 @@
 }
 
 std::string
-AttemptOf(const HttpRequest& aRequest)
+AttemptIdOf(const HttpRequest& aRequest)
 {
   return std::string(aRequest["Attempt-Id"]);
 }
--- a/Tests/Forwarding/ForwardFixture.h
+++ b/Tests/Forwarding/ForwardFixture.h
@@ -30,7 +30,7 @@
   // /once/ (not resumable) to the model. Key k1 belongs to account-1.
   // aAccounts, if given, stands for that account.
   void PutConfig(std::uint64_t aVersion = 1, const std::string& aAccounts = {});
-  StubEndpoint& AddPlain();
+  StubEndpoint& AddPlainEndpoint();
   // Holds layers [aFirst, aEnd) of 4.
   StubEndpoint& AddEngine(std::uint32_t aFirst, std::uint32_t aEnd);
   // Another VM reports the endpoint dead; it announces itself again.
@@ -62,7 +62,7 @@
   // Sends one request on a new connection and runs until it is answered.
   std::string Ask(const std::string& aMethod,
                   const std::string& aPath,
-                  const std::string& aMore = {},
+                  const std::string& aExtraHeaders = {},
                   const std::string& aBody = {});
   // Runs until the condition holds; false at a deadline that only a failing
   // test reaches.
@@ -90,7 +90,7 @@
 std::string
 MakeRequest(const std::string& aMethod,
             const std::string& aPath,
-            const std::string& aMore = {},
+            const std::string& aExtraHeaders = {},
             const std::string& aBody = {});
 
 // Status of an answer.
@@ -110,9 +110,9 @@
 // A script that answers reports of an engine's state, refuses orders, and
 // answers others by aScript.
 StubEndpoint::Script
-WithState(StubEndpoint::Script aScript);
+WithEngineState(StubEndpoint::Script aScript);
 
 std::string
-AttemptOf(const HttpRequest& aRequest);
+AttemptIdOf(const HttpRequest& aRequest);
 
 } // namespace parsleycove
--- a/Tests/Forwarding/PartsTest.cxx
+++ b/Tests/Forwarding/PartsTest.cxx
@@ -1,7 +1,7 @@
 // Tests of forwarding's parts without connections.
 #include "Forwarding/EventSplitter.h"
-#include "Forwarding/ReportVerdict.h"
-#include "Forwarding/RequestJob.h"
+#include "Forwarding/FailureReportDecision.h"
+#include "Forwarding/ForwardedRequest.h"
 #include "Forwarding/RetryAfter.h"
 
 // Last, since its leak macros redefine new.
@@ -23,12 +23,13 @@
   for (std::size_t cut = 0; cut <= kEvents.size(); ++cut) {
     EventSplitter splitter;
     std::string out;
-    const std::size_t early = splitter.Take(kEvents.substr(0, cut), out);
-    const std::size_t late = splitter.Take(kEvents.substr(cut), out);
+    const std::size_t early =
+      splitter.ExtractEvents(kEvents.substr(0, cut), out);
+    const std::size_t late = splitter.ExtractEvents(kEvents.substr(cut), out);
     STRCMP_EQUAL(kEvents.c_str(), out.c_str());
     CHECK_EQUAL(3U, early + late);
     CHECK_EQUAL(3U, *splitter.LastId());
-    CHECK_FALSE(splitter.HasPart());
+    CHECK_FALSE(splitter.HasPartialEvent());
   }
 }
 
@@ -36,33 +37,33 @@
 {
   EventSplitter splitter(2);
   std::string out;
-  CHECK_EQUAL(1U, splitter.Take(kEvents, out));
+  CHECK_EQUAL(1U, splitter.ExtractEvents(kEvents, out));
   STRCMP_EQUAL("id: 3\nd: c\n\n", out.c_str());
-  CHECK_FALSE(splitter.HasGap());
+  CHECK_FALSE(splitter.HasMissingEvent());
 }
 
 TEST(EventSplitter, StopsBeforeAGapUntilTheRunIsDropped)
 {
   EventSplitter splitter;
   std::string out;
-  CHECK_EQUAL(1U, splitter.Take("id: 1\n\nid: 3\n\nid: 4\n\n", out));
-  CHECK(splitter.HasGap());
-  CHECK_EQUAL(0U, splitter.Take("id: 5\n\n", out));
+  CHECK_EQUAL(1U, splitter.ExtractEvents("id: 1\n\nid: 3\n\nid: 4\n\n", out));
+  CHECK(splitter.HasMissingEvent());
+  CHECK_EQUAL(0U, splitter.ExtractEvents("id: 5\n\n", out));
   STRCMP_EQUAL("id: 1\n\n", out.c_str());
   CHECK_EQUAL(1U, *splitter.LastId());
-  splitter.DropPart();
-  CHECK_FALSE(splitter.HasGap());
-  CHECK_EQUAL(1U, splitter.Take("id: 2\n\n", out));
+  splitter.DiscardPartialEvent();
+  CHECK_FALSE(splitter.HasMissingEvent());
+  CHECK_EQUAL(1U, splitter.ExtractEvents("id: 2\n\n", out));
 }
 
 TEST(EventSplitter, ForgetsThePartOfABrokenRun)
 {
   EventSplitter splitter;
   std::string out;
-  splitter.Take("id: 1\n\nid: 2\nda", out);
-  CHECK(splitter.HasPart());
-  splitter.DropPart();
-  splitter.Take("id: 2\nx: y\n\n", out);
+  splitter.ExtractEvents("id: 1\n\nid: 2\nda", out);
+  CHECK(splitter.HasPartialEvent());
+  splitter.DiscardPartialEvent();
+  splitter.ExtractEvents("id: 2\nx: y\n\n", out);
   STRCMP_EQUAL("id: 1\n\nid: 2\nx: y\n\n", out.c_str());
 }
 
@@ -89,37 +90,37 @@
 
 TEST(RetryAfter, IsWrittenInSeconds)
 {
-  STRCMP_EQUAL("0.250", PrintSeconds(std::chrono::milliseconds(250)).c_str());
+  STRCMP_EQUAL("0.250", FormatSeconds(std::chrono::milliseconds(250)).c_str());
 }
 
 // clang-format off
-TEST_GROUP(ReportVerdict)
+TEST_GROUP(FailureReportDecision)
 {
-  static constexpr Duration kRecent = std::chrono::milliseconds(400);
-  static constexpr Duration kPause = std::chrono::milliseconds(60);
+  static constexpr Duration kRecentWindow = std::chrono::milliseconds(400);
+  static constexpr Duration kStallThreshold = std::chrono::milliseconds(60);
 
-  static ReportVerdict Judge(int aSilentMs, bool aHasStreams)
+  static FailureReportDecision Evaluate(int aSilentMs, bool aHasStreams)
   {
-    return JudgeReport(
-      { std::chrono::milliseconds(aSilentMs), aHasStreams, kPause }, kRecent);
+    return EvaluateFailureReport(
+      { std::chrono::milliseconds(aSilentMs), aHasStreams, kStallThreshold }, kRecentWindow);
   }
 };
 // clang-format on
 
-TEST(ReportVerdict, AnEngineWhoseStreamsStandStillIsDead)
+TEST(FailureReportDecision, AnEngineWhoseStreamsStandStillIsDead)
 {
-  CHECK(Judge(61, true) == ReportVerdict::Believe);
+  CHECK(Evaluate(61, true) == FailureReportDecision::Believe);
 }
 
 // Load pattern: one gateway is cut off from an engine that serves the others.
-TEST(ReportVerdict, AnEngineWhoseStreamsMoveIsNot)
+TEST(FailureReportDecision, AnEngineWhoseStreamsMoveIsNot)
 {
-  CHECK(Judge(60, true) == ReportVerdict::Ignore);
-  CHECK(Judge(0, true) == ReportVerdict::Ignore);
+  CHECK(Evaluate(60, true) == FailureReportDecision::Ignore);
+  CHECK(Evaluate(0, true) == FailureReportDecision::Ignore);
 }
 
-TEST(ReportVerdict, AnEngineWithoutStreamsIsAskedIfItAnsweredLately)
+TEST(FailureReportDecision, AnEngineWithoutStreamsIsAskedIfItAnsweredLately)
 {
-  CHECK(Judge(399, false) == ReportVerdict::Ask);
-  CHECK(Judge(400, false) == ReportVerdict::Believe);
+  CHECK(Evaluate(399, false) == FailureReportDecision::Ask);
+  CHECK(Evaluate(400, false) == FailureReportDecision::Believe);
 }
--- a/Tests/Forwarding/PlainForwardTest.cxx
+++ b/Tests/Forwarding/PlainForwardTest.cxx
@@ -11,14 +11,14 @@
 std::vector<StubStep>
 AnswerOk(const HttpRequest& aRequest)
 {
-  return { Send(MakeAnswer(AttemptOf(aRequest), 200, "done")) };
+  return { Send(MakeAnswer(AttemptIdOf(aRequest), 200, "done")) };
 }
 
 std::vector<StubStep>
-SayNotRun(const HttpRequest& aRequest)
+AnswerNotExecuted(const HttpRequest& aRequest)
 {
   return { Send(
-    MakeAnswer(AttemptOf(aRequest), 503, "", "Not-Executed: 1\r\n")) };
+    MakeAnswer(AttemptIdOf(aRequest), 503, "", "Not-Executed: 1\r\n")) };
 }
 
 std::vector<StubStep>
@@ -40,13 +40,13 @@
   void StartTwo(const StubEndpoint::Script& aScript)
   {
     m_fixture->PutConfig();
-    m_one = &m_fixture->AddPlain();
-    m_two = &m_fixture->AddPlain();
+    m_one = &m_fixture->AddPlainEndpoint();
+    m_two = &m_fixture->AddPlainEndpoint();
     m_one->SetScript(aScript);
     m_two->SetScript(aScript);
     m_fixture->Start();
   }
-  std::size_t Sent() const
+  std::size_t RequestCount() const
   {
     return m_one->Requests().size() + m_two->Requests().size();
   }
@@ -79,7 +79,7 @@
 {
   StartTwo(CloseWithoutAnswer);
   CHECK_EQUAL(502, StatusOf(m_fixture->Ask("POST", "/unsafe/x", "", "b")));
-  CHECK_EQUAL(1U, Sent());
+  CHECK_EQUAL(1U, RequestCount());
   CHECK_FALSE(m_fixture->m_sink.Has({ "request_sent_again" }));
   CHECK_EQUAL(0, m_fixture->MetricOf("parsleycove_repeats_total"));
   CHECK(m_fixture->m_sink.Has(
@@ -89,17 +89,17 @@
 TEST(PlainForward, AnUnsafeRequestThatDidNotRunIsSentAgain)
 {
   m_fixture->PutConfig();
-  m_one = &m_fixture->AddPlain();
-  m_two = &m_fixture->AddPlain();
+  m_one = &m_fixture->AddPlainEndpoint();
+  m_two = &m_fixture->AddPlainEndpoint();
   int calls = 0;
   const auto script = [&](const HttpRequest& aRequest) {
-    return ++calls == 1 ? SayNotRun(aRequest) : AnswerOk(aRequest);
+    return ++calls == 1 ? AnswerNotExecuted(aRequest) : AnswerOk(aRequest);
   };
   m_one->SetScript(script);
   m_two->SetScript(script);
   m_fixture->Start();
   CHECK_EQUAL(200, StatusOf(m_fixture->Ask("POST", "/unsafe/x", "", "b")));
-  CHECK_EQUAL(2U, Sent());
+  CHECK_EQUAL(2U, RequestCount());
   CHECK(m_fixture->m_sink.Has(
     { "request_sent_again", "\"id\":\"a1\"", "endpoint_refused" }));
   CHECK_EQUAL(1, m_fixture->MetricOf("parsleycove_repeats_total"));
@@ -107,7 +107,7 @@
 
 TEST(PlainForward, WhenNobodyRanItTheCallerIsToldAndWhenToComeBack)
 {
-  StartTwo(SayNotRun);
+  StartTwo(AnswerNotExecuted);
   const std::string answer = m_fixture->Ask("POST", "/unsafe/x", "", "b");
   CHECK_EQUAL(503, StatusOf(answer));
   CHECK(answer.find("Retry-After: 0.") != std::string::npos);
@@ -120,7 +120,7 @@
 {
   StartTwo([](const HttpRequest& aRequest) {
     return std::vector<StubStep>{ Send(
-      MakeAnswer(AttemptOf(aRequest), 503, "")) };
+      MakeAnswer(AttemptIdOf(aRequest), 503, "")) };
   });
   const std::string answer = m_fixture->Ask("POST", "/unsafe/x", "", "b");
   CHECK_EQUAL(502, StatusOf(answer));
@@ -130,8 +130,8 @@
 TEST(PlainForward, ASafeRequestGoesElsewhereAfterAnyFailure)
 {
   m_fixture->PutConfig();
-  m_one = &m_fixture->AddPlain();
-  m_two = &m_fixture->AddPlain();
+  m_one = &m_fixture->AddPlainEndpoint();
+  m_two = &m_fixture->AddPlainEndpoint();
   int calls = 0;
   const auto script = [&](const HttpRequest& aRequest) {
     return ++calls == 1 ? CloseWithoutAnswer(aRequest) : AnswerOk(aRequest);
@@ -145,8 +145,8 @@
 TEST(PlainForward, ASilentEndpointOfASafeRequestIsLeft)
 {
   m_fixture->PutConfig();
-  m_one = &m_fixture->AddPlain();
-  m_two = &m_fixture->AddPlain();
+  m_one = &m_fixture->AddPlainEndpoint();
+  m_two = &m_fixture->AddPlainEndpoint();
   int calls = 0;
   const auto script = [&](const HttpRequest& aRequest) {
     return ++calls == 1 ? std::vector<StubStep>{ Hang() } : AnswerOk(aRequest);
@@ -174,7 +174,7 @@
   StartTwo([](const HttpRequest& aRequest) {
     return std::vector<StubStep>{ Send(
       MakeAnswer("other", 200, "theirs") +
-      MakeAnswer(AttemptOf(aRequest), 200, "mine")) };
+      MakeAnswer(AttemptIdOf(aRequest), 200, "mine")) };
   });
   const std::string answer = m_fixture->Ask("POST", "/unsafe/x", "", "b");
   CHECK_EQUAL(200, StatusOf(answer));
@@ -185,7 +185,7 @@
 {
   StartTwo([](const HttpRequest& aRequest) {
     return std::vector<StubStep>{ Send(
-      MakeAnswer(AttemptOf(aRequest), 200, "mine") + "HTTP/1.1 200 OK\r\n") };
+      MakeAnswer(AttemptIdOf(aRequest), 200, "mine") + "HTTP/1.1 200 OK\r\n") };
   });
   CHECK_EQUAL(200, StatusOf(m_fixture->Ask("POST", "/unsafe/x", "", "b")));
   CHECK_EQUAL(200, StatusOf(m_fixture->Ask("POST", "/unsafe/x", "", "b")));
@@ -195,7 +195,7 @@
 TEST(PlainForward, ATruncatedAnswerIsNoAnswer)
 {
   StartTwo([](const HttpRequest& aRequest) {
-    std::string answer = MakeAnswer(AttemptOf(aRequest), 200, "whole body");
+    std::string answer = MakeAnswer(AttemptIdOf(aRequest), 200, "whole body");
     answer.resize(answer.size() - 4);
     return std::vector<StubStep>{ Send(answer), CloseNow() };
   });
@@ -225,7 +225,7 @@
   StartTwo([](const HttpRequest&) { return std::vector<StubStep>{ Hang() }; });
   const auto caller = m_fixture->Connect();
   caller->Send(MakeRequest("POST", "/unsafe/x", "", "b"));
-  CHECK(m_fixture->RunUntil([&] { return Sent() == 1; }));
+  CHECK(m_fixture->RunUntil([&] { return RequestCount() == 1; }));
   caller->Close();
   CHECK(m_fixture->RunUntil(
     [&] { return m_one->Abandoned() + m_two->Abandoned() == 1; }));
@@ -246,7 +246,7 @@
                "Authorization: Bearer other\r\nConnection: close\r\n\r\n");
   CHECK(m_fixture->RunUntil([&] { return caller->IsClosed(); }));
   CHECK_EQUAL(401, StatusOf(caller->Received()));
-  CHECK_EQUAL(0U, Sent());
+  CHECK_EQUAL(0U, RequestCount());
 }
 
 // Load pattern: the VM's feed broke just before a version was accepted. Its
@@ -283,14 +283,14 @@
   m_fixture->m_control.SetLease(false);
   const std::string answer = m_fixture->Ask("GET", "/safe/x");
   CHECK_EQUAL(503, StatusOf(answer));
-  CHECK_EQUAL(0U, Sent());
+  CHECK_EQUAL(0U, RequestCount());
   CHECK(m_fixture->m_sink.Has({ "request_refused", "no_lease" }));
 }
 
 TEST(PlainForward, ACopyThatComesSoonIsWaitedFor)
 {
-  m_one = &m_fixture->AddPlain();
-  m_two = &m_fixture->AddPlain();
+  m_one = &m_fixture->AddPlainEndpoint();
+  m_two = &m_fixture->AddPlainEndpoint();
   m_one->SetScript(AnswerOk);
   m_two->SetScript(AnswerOk);
   m_fixture->Start();
@@ -312,7 +312,7 @@
     431,
     StatusOf(m_fixture->Ask(
       "GET", "/safe/x", "X-Long: " + std::string(3000, 'h') + "\r\n")));
-  CHECK_EQUAL(0U, Sent());
+  CHECK_EQUAL(0U, RequestCount());
 }
 
 TEST(PlainForward, AStoppingGatewayFinishesWhatItHasAndRefusesTheRest)
@@ -320,11 +320,11 @@
   StartTwo([](const HttpRequest& aRequest) {
     return std::vector<StubStep>{ Pause(std::chrono::milliseconds(300)),
                                   Send(MakeAnswer(
-                                    AttemptOf(aRequest), 200, "done")) };
+                                    AttemptIdOf(aRequest), 200, "done")) };
   });
   const auto caller = m_fixture->Connect();
   caller->Send(MakeRequest("POST", "/unsafe/x", "", "b"));
-  CHECK(m_fixture->RunUntil([&] { return Sent() == 1; }));
+  CHECK(m_fixture->RunUntil([&] { return RequestCount() == 1; }));
   m_fixture->m_gateway->BeginStop();
   CHECK_FALSE(m_fixture->m_gateway->IsReady(BootClock::now()));
   CHECK(m_fixture->RunUntil([&] { return caller->IsClosed(); }));
--- a/Tests/Forwarding/StreamForwardTest.cxx
+++ b/Tests/Forwarding/StreamForwardTest.cxx
@@ -22,7 +22,7 @@
     m_fixture->PutConfig();
     m_first = &m_fixture->AddEngine(0, 4);
     m_other = &m_fixture->AddEngine(0, 4);
-    auto script = WithState([this, aBroken](const HttpRequest& aRequest) {
+    auto script = WithEngineState([this, aBroken](const HttpRequest& aRequest) {
       return ++m_calls == 1 ? aBroken(aRequest) : StreamAll(aRequest);
     });
     m_first->SetScript(script);
@@ -43,8 +43,8 @@
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 2);
   m_other = &m_fixture->AddEngine(2, 4);
-  m_first->SetScript(WithState(StreamAll));
-  m_other->SetScript(WithState(StreamAll));
+  m_first->SetScript(WithEngineState(StreamAll));
+  m_other->SetScript(WithEngineState(StreamAll));
   m_fixture->Start();
   CheckAllEventsOnce(Ask("/stream/x"));
   CHECK_EQUAL(1U, m_first->Requests().size());
@@ -88,7 +88,7 @@
 {
   StartTwo([](const HttpRequest& aRequest) {
     return std::vector<StubStep>{
-      Send(MakeStreamHead(AttemptOf(aRequest))),
+      Send(MakeStreamHead(AttemptIdOf(aRequest))),
       Send(MakeEvent(1)),
       Send("5\r\nid: 2\r\n"),
       Send(MakeStreamEnd()),
@@ -100,7 +100,7 @@
 TEST(StreamForward, AMissingEventIsFetchedAndNotPassedOver)
 {
   StartTwo([](const HttpRequest& aRequest) {
-    return std::vector<StubStep>{ Send(MakeStreamHead(AttemptOf(aRequest))),
+    return std::vector<StubStep>{ Send(MakeStreamHead(AttemptIdOf(aRequest))),
                                   Send(MakeEvent(1)),
                                   Pause(std::chrono::milliseconds(50)),
                                   Send(MakeEvent(3)),
@@ -113,7 +113,7 @@
 TEST(StreamForward, AMissingEventEndsAStreamThatMayNotBeResumed)
 {
   StartTwo([](const HttpRequest& aRequest) {
-    return std::vector<StubStep>{ Send(MakeStreamHead(AttemptOf(aRequest))),
+    return std::vector<StubStep>{ Send(MakeStreamHead(AttemptIdOf(aRequest))),
                                   Send(MakeEvent(1)),
                                   Send(MakeEvent(3)),
                                   Send(MakeStreamEnd()) };
@@ -130,9 +130,9 @@
   m_first = &m_fixture->AddEngine(0, 2);
   m_other = &m_fixture->AddEngine(2, 4);
   StubEndpoint& spare = m_fixture->AddEngine(2, 4);
-  spare.SetScript(WithState(StreamAll));
-  m_other->SetScript(WithState(StreamAll));
-  m_first->SetScript(WithState([&](const HttpRequest& aRequest) {
+  spare.SetScript(WithEngineState(StreamAll));
+  m_other->SetScript(WithEngineState(StreamAll));
+  m_first->SetScript(WithEngineState([&](const HttpRequest& aRequest) {
     if (++m_calls > 1) {
       return StreamAll(aRequest);
     }
@@ -142,7 +142,7 @@
     const std::string second =
       path.substr(comma + 1, path.find('=', comma) - comma - 1);
     return std::vector<StubStep>{ Send(
-      MakeAnswer(AttemptOf(aRequest),
+      MakeAnswer(AttemptIdOf(aRequest),
                  503,
                  "",
                  "Not-Executed: 1\r\nAt-Server: " + second + "\r\n")) };
@@ -157,7 +157,7 @@
 TEST(StreamForward, AStreamWhoseEnginesAnswerIsNotEndedForItsSilence)
 {
   StartTwo([](const HttpRequest& aRequest) {
-    return std::vector<StubStep>{ Send(MakeStreamHead(AttemptOf(aRequest))),
+    return std::vector<StubStep>{ Send(MakeStreamHead(AttemptIdOf(aRequest))),
                                   Send(MakeEvent(1)),
                                   Pause(std::chrono::milliseconds(400)),
                                   Send(MakeEvent(2) + MakeEvent(3)),
@@ -172,7 +172,7 @@
 {
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 4);
-  m_first->SetScript(WithState(StreamAll));
+  m_first->SetScript(WithEngineState(StreamAll));
   m_fixture->Start();
   const std::string answer = m_fixture->Ask(
     "POST", "/stream/x", kStreamHeader + "Last-Event-Id: 3\r\n", "prompt");
@@ -198,7 +198,7 @@
 {
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 2);
-  m_first->SetScript(WithState(StreamAll));
+  m_first->SetScript(WithEngineState(StreamAll));
   m_fixture->Start();
   const std::string answer = Ask("/stream/x");
   CHECK_EQUAL(503, StatusOf(answer));
@@ -210,14 +210,14 @@
 {
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 2);
-  m_first->SetScript(WithState(StreamAll));
+  m_first->SetScript(WithEngineState(StreamAll));
   m_fixture->Start();
   const auto caller = m_fixture->Connect();
   caller->Send(MakeRequest(
     "POST", "/stream/x", kStreamHeader + "Connection: close\r\n", "prompt"));
   m_fixture->RunUntil([polls = 0]() mutable { return ++polls > 8; });
   m_other = &m_fixture->AddEngine(2, 4);
-  m_other->SetScript(WithState(StreamAll));
+  m_other->SetScript(WithEngineState(StreamAll));
   CHECK(m_fixture->RunUntil([&] { return caller->IsClosed(); }));
   CheckAllEventsOnce(caller->Received());
 }
--- a/Tests/Forwarding/StreamRerouteTest.cxx
+++ b/Tests/Forwarding/StreamRerouteTest.cxx
@@ -17,7 +17,7 @@
   StubEndpoint* m_other = nullptr;
   StubEndpoint* m_spare = nullptr;
   // What remains of the two after one was stopped.
-  StubEndpoint* m_left = nullptr;
+  StubEndpoint* m_remaining = nullptr;
 
   void teardown() override { m_fixture.reset(); }
 
@@ -28,8 +28,8 @@
     m_first = &m_fixture->AddEngine(0, 2);
     m_other = &m_fixture->AddEngine(2, 4);
     m_spare = &m_fixture->AddEngine(2, 4);
-    m_other->SetScript(WithState(StreamAll));
-    m_spare->SetScript(WithState(StreamAll));
+    m_other->SetScript(WithEngineState(StreamAll));
+    m_spare->SetScript(WithEngineState(StreamAll));
     m_fixture->Start();
   }
   bool UsesOther(const HttpRequest& aRequest) const
@@ -41,11 +41,11 @@
   void StopSecondStageOf(const HttpRequest& aRequest)
   {
     const bool isOther = UsesOther(aRequest);
-    m_left = isOther ? m_spare : m_other;
+    m_remaining = isOther ? m_spare : m_other;
     (isOther ? m_other : m_spare)->Stop();
   }
   // The first engine answers orders so; its stream goes on after the first one.
-  void TakeOrders(const std::string& aStatus,
+  void AnswerOrders(const std::string& aStatus,
                   const std::function<void(const HttpRequest&)>& aOnStream)
   {
     m_first->SetScript([this, aStatus, aOnStream](const HttpRequest& aRequest) {
@@ -54,10 +54,10 @@
         return std::vector<StubStep>{ Send(
           "HTTP/1.1 " + aStatus + "\r\nContent-Length: 0\r\n\r\n") };
       }
-      return WithState([this, aOnStream](const HttpRequest& aStream) {
+      return WithEngineState([this, aOnStream](const HttpRequest& aStream) {
         ++m_calls;
         aOnStream(aStream);
-        return std::vector<StubStep>{ Send(MakeStreamHead(AttemptOf(aStream))),
+        return std::vector<StubStep>{ Send(MakeStreamHead(AttemptIdOf(aStream))),
                                       Send(MakeEvent(1) + MakeEvent(2)),
                                       Await([this] { return m_orders != 0; }),
                                       Send(MakeEvent(3) + MakeEvent(4)),
@@ -72,23 +72,23 @@
   }
 
   // One engine for all layers. It answers questions by aAnswer, which gets
-  // their number; its stream goes on after question aGoesOnAt and the second.
-  void StartAlone(const std::function<StubStep(int)>& aAnswer, int aGoesOnAt = 1)
+  // their number; its stream goes on after question aContinueAtProbe and the second.
+  void StartSingleEngine(const std::function<StubStep(int)>& aAnswer, int aContinueAtProbe = 1)
   {
     m_fixture->PutConfig();
     m_first = &m_fixture->AddEngine(0, 4);
-    m_first->SetScript([this, aAnswer, aGoesOnAt](const HttpRequest& aRequest) {
+    m_first->SetScript([this, aAnswer, aContinueAtProbe](const HttpRequest& aRequest) {
       if (aRequest.target() == "/parsleycove/report") {
-        return std::vector<StubStep>{ aAnswer(++m_questions) };
+        return std::vector<StubStep>{ aAnswer(++m_probes) };
       }
-      const auto asked = [this](int aTimes) {
-        return Await([this, aTimes] { return m_questions >= aTimes; });
+      const auto probed = [this](int aTimes) {
+        return Await([this, aTimes] { return m_probes >= aTimes; });
       };
-      return std::vector<StubStep>{ Send(MakeStreamHead(AttemptOf(aRequest))),
+      return std::vector<StubStep>{ Send(MakeStreamHead(AttemptIdOf(aRequest))),
                                     Send(MakeEvent(1) + MakeEvent(2)),
-                                    asked(aGoesOnAt),
+                                    probed(aContinueAtProbe),
                                     Send(MakeEvent(3)),
-                                    asked(2),
+                                    probed(2),
                                     Send(MakeEvent(4) + MakeEvent(5)),
                                     Send(MakeStreamEnd()) };
     });
@@ -97,7 +97,7 @@
 
   int m_calls = 0;
   int m_orders = 0;
-  int m_questions = 0;
+  int m_probes = 0;
 };
 // clang-format on
 
@@ -111,12 +111,12 @@
 
 } // namespace
 
-// Load pattern: an engine goes dark under a stream. The engines' own time-out
-// is seconds away; the question to them takes a round trip.
+// Load pattern: an engine goes unresponsive under a stream. The engines' own
+// time-out is seconds away; the question to them takes a round trip.
 TEST(StreamReroute, ASilentStageIsFoundByAskingAndLeft)
 {
   StartWithSpare();
-  m_first->SetScript(WithState([&](const HttpRequest& aRequest) {
+  m_first->SetScript(WithEngineState([&](const HttpRequest& aRequest) {
     if (++m_calls > 1) {
       return StreamAll(aRequest);
     }
@@ -134,7 +134,7 @@
 TEST(StreamReroute, AStreamIsLedRoundADeadStageByItsFirstEngine)
 {
   StartWithSpare();
-  TakeOrders("202 Accepted", [this](const HttpRequest& aStream) {
+  AnswerOrders("202 Accepted", [this](const HttpRequest& aStream) {
     StopSecondStageOf(aStream);
   });
   CheckAllEventsOnce(Ask("/stream/x"));
@@ -148,7 +148,7 @@
     std::find_if(all.begin(), all.end(), [](const HttpRequest& aRequest) {
       return aRequest.target() == kOrderTarget;
     });
-  const std::string left = std::to_string(m_left->Port());
+  const std::string left = std::to_string(m_remaining->Port());
   CHECK(order->body().find("\"id\":\"a1\"") != std::string::npos);
   CHECK(order->body().find(":" + left + "=2-4") != std::string::npos);
   CHECK((*order)["Expect-Instance"] == m_fixture->IdOf(*m_first));
@@ -158,7 +158,7 @@
 TEST(StreamReroute, AStreamThatMayNotBeResumedIsLedRoundADeadStageToo)
 {
   StartWithSpare();
-  TakeOrders("200 OK", [this](const HttpRequest& aStream) {
+  AnswerOrders("200 OK", [this](const HttpRequest& aStream) {
     StopSecondStageOf(aStream);
   });
   CheckAllEventsOnce(Ask("/once/x"));
@@ -173,12 +173,13 @@
   m_first->SetScript([&](const HttpRequest& aRequest) {
     if (aRequest.target() == kOrderTarget) {
       const std::string body =
-        "{\"address\":\"127.0.0.1:" + std::to_string(m_left->Port()) + "\"}";
+        "{\"address\":\"127.0.0.1:" + std::to_string(m_remaining->Port()) +
+        "\"}";
       return std::vector<StubStep>{ Send(
         "HTTP/1.1 409 Conflict\r\nContent-Length: " +
         std::to_string(body.size()) + "\r\n\r\n" + body) };
     }
-    return WithState([&](const HttpRequest& aStream) {
+    return WithEngineState([&](const HttpRequest& aStream) {
       if (++m_calls > 1) {
         return StreamAll(aStream);
       }
@@ -209,7 +210,7 @@
   };
   m_other->SetScript(makeStage(isOtherSlow));
   m_spare->SetScript(makeStage(isSpareSlow));
-  TakeOrders("202 Accepted", [&](const HttpRequest& aStream) {
+  AnswerOrders("202 Accepted", [&](const HttpRequest& aStream) {
     (UsesOther(aStream) ? isOtherSlow : isSpareSlow) = true;
   });
   CheckAllEventsOnce(Ask("/stream/x"));
@@ -224,8 +225,8 @@
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 4);
   m_other = &m_fixture->AddEngine(0, 4);
-  m_first->SetScript(WithState(StreamAll));
-  m_other->SetScript(WithState(StreamAll));
+  m_first->SetScript(WithEngineState(StreamAll));
+  m_other->SetScript(WithEngineState(StreamAll));
   m_fixture->Suspect(*m_first);
   m_fixture->Start();
   CHECK(m_fixture->RunUntil([this] {
@@ -236,39 +237,40 @@
     CheckAllEventsOnce(Ask("/stream/x"));
   }
   CHECK_EQUAL(0U, m_first->Requests().size());
-  // It announces itself: asked once, then used again.
+  // It announces itself: probed once, then used again.
   m_fixture->AnnounceAgain(*m_first);
   CHECK(m_fixture->RunUntil(
     [this] { return m_fixture->m_sink.Has({ "endpoint_cleared" }); }));
   CHECK_EQUAL(1U, m_first->Requests().size());
 }
 
-// Load pattern: an engine goes dark under streams of all VMs at once. The VM
-// that notices first waits for the question's time-out; the others need not.
+// Load pattern: an engine goes unresponsive under streams of all VMs at once.
+// The VM that notices first waits for the question's time-out; the others need
+// not.
 TEST(StreamReroute, StreamsThatStandStillLeaveWhatAnotherVmFoundDead)
 {
   StartWithSpare();
-  StubEndpoint* dark = nullptr;
+  StubEndpoint* unresponsive = nullptr;
   const auto hang = [](const HttpRequest&) {
     return std::vector<StubStep>{ Hang() };
   };
-  TakeOrders("202 Accepted", [&](const HttpRequest& aStream) {
-    dark = UsesOther(aStream) ? m_other : m_spare;
-    dark->SetScript(hang);
-    m_fixture->Suspect(*dark);
+  AnswerOrders("202 Accepted", [&](const HttpRequest& aStream) {
+    unresponsive = UsesOther(aStream) ? m_other : m_spare;
+    unresponsive->SetScript(hang);
+    m_fixture->Suspect(*unresponsive);
   });
   CheckAllEventsOnce(Ask("/stream/x"));
   CHECK_EQUAL(1, m_orders);
   CHECK(m_fixture->m_sink.Has(
     { "endpoint_suspected", "another VM found it dead" }));
-  CHECK_EQUAL(0U, dark->Requests().size());
+  CHECK_EQUAL(0U, unresponsive->Requests().size());
 }
 
 // Load pattern: an engine reads many prompts at once; a question to it waits
 // longer than usual, and so do its streams, but they move.
 TEST(StreamReroute, AnEngineWhoseStreamMovesIsNotDead)
 {
-  StartAlone([](int) { return Hang(); });
+  StartSingleEngine([](int) { return Hang(); });
   CheckAllEventsOnce(Ask("/stream/x"));
   CHECK_FALSE(m_fixture->m_sink.Has({ "endpoint_suspected" }));
 }
@@ -276,7 +278,7 @@
 // An engine may close a kept connection as the question is sent.
 TEST(StreamReroute, AQuestionThatIsResetIsAskedAgain)
 {
-  StartAlone(
+  StartSingleEngine(
     [](int aNumber) { return aNumber == 1 ? CloseNow() : SendState(); });
   CheckAllEventsOnce(Ask("/stream/x"));
   CHECK_FALSE(m_fixture->m_sink.Has({ "endpoint_suspected" }));
@@ -287,8 +289,8 @@
 TEST(StreamReroute, AnEngineInAnotherZoneIsAskedTwice)
 {
   m_fixture->m_options.m_zone = "zone-b";
-  StartAlone([](int aNumber) { return aNumber == 1 ? Hang() : SendState(); },
-             2);
+  StartSingleEngine(
+    [](int aNumber) { return aNumber == 1 ? Hang() : SendState(); }, 2);
   CheckAllEventsOnce(Ask("/stream/x"));
   CHECK_FALSE(m_fixture->m_sink.Has({ "endpoint_suspected" }));
 }
@@ -299,7 +301,7 @@
 {
   m_fixture->PutConfig();
   m_first = &m_fixture->AddEngine(0, 4);
-  m_first->SetScript(WithState(StreamAll));
+  m_first->SetScript(WithEngineState(StreamAll));
   m_fixture->Suspect(*m_first);
   m_fixture->Start();
   CHECK(m_fixture->RunUntil([this] {
--- a/Tests/Forwarding/StreamScripts.cxx
+++ b/Tests/Forwarding/StreamScripts.cxx
@@ -22,7 +22,7 @@
 std::vector<StubStep>
 StreamAll(const HttpRequest& aRequest)
 {
-  std::vector<StubStep> steps{ Send(MakeStreamHead(AttemptOf(aRequest))) };
+  std::vector<StubStep> steps{ Send(MakeStreamHead(AttemptIdOf(aRequest))) };
   for (int id = FirstEventOf(aRequest); id <= 5; ++id) {
     steps.push_back(Send(MakeEvent(id)));
   }
@@ -34,7 +34,7 @@
 StreamPart(const HttpRequest& aRequest, StubStep aLast)
 {
   const std::string fourth = MakeEvent(4);
-  return { Send(MakeStreamHead(AttemptOf(aRequest))),
+  return { Send(MakeStreamHead(AttemptIdOf(aRequest))),
            Send(MakeEvent(1) + MakeEvent(2) + MakeEvent(3)),
            Send(fourth.substr(0, fourth.size() / 2)),
            std::move(aLast) };
--- a/Tests/Forwarding/StubEndpoint.cxx
+++ b/Tests/Forwarding/StubEndpoint.cxx
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
-constexpr std::chrono::milliseconds kLook{ 2 };
+constexpr std::chrono::milliseconds kPollInterval{ 2 };
 
 } // namespace
 
@@ -56,11 +56,11 @@
 MakeAnswer(const std::string& aAttemptId,
            unsigned aStatus,
            const std::string& aBody,
-           const std::string& aMore)
+           const std::string& aExtraHeaders)
 {
   return "HTTP/1.1 " + std::to_string(aStatus) +
          " Any\r\nAttempt-Id: " + aAttemptId +
-         "\r\nResponse-Signature: s1\r\n" + aMore +
+         "\r\nResponse-Signature: s1\r\n" + aExtraHeaders +
          "Content-Length: " + std::to_string(aBody.size()) + "\r\n\r\n" + aBody;
 }
 
@@ -151,7 +151,7 @@
         co_return true;
       case StubStep::Kind::Await:
         while (!aStep.m_until()) {
-          timer.expires_after(kLook);
+          timer.expires_after(kPollInterval);
           co_await timer.async_wait(kAwait);
         }
         co_return true;
--- a/Tests/Forwarding/StubEndpoint.h
+++ b/Tests/Forwarding/StubEndpoint.h
@@ -50,7 +50,7 @@
 MakeAnswer(const std::string& aAttemptId,
            unsigned aStatus,
            const std::string& aBody,
-           const std::string& aMore = {});
+           const std::string& aExtraHeaders = {});
 // Head of a stream of events.
 std::string
 MakeStreamHead(const std::string& aAttemptId);
--- a/Tests/Placement/PlacementDirectorTest.cxx
+++ b/Tests/Placement/PlacementControllerTest.cxx
@@ -5,7 +5,7 @@
 #include <boost/asio/io_context.hpp>
 
 #include "ConfigDocument.h"
-#include "Placement/PlacementDirector.h"
+#include "Placement/PlacementController.h"
 #include "Support/FakeControl.h"
 #include "Support/MemorySink.h"
 
@@ -24,39 +24,39 @@
  "tenants":[],"version":1})";
 
 // Notes orders and answers all questions alike.
-class FakeOrders final : public EngineOrders
+class FakeEngineOrders final : public EngineOrders
 {
 public:
-  asio::awaitable<EnginePresence> Ask(RunnerPtr aEngine) override
+  asio::awaitable<EngineProbeResult> Probe(RunnerPtr aEngine) override
   {
-    m_asked.push_back(aEngine->m_id);
-    co_return m_presence;
+    m_probed.push_back(aEngine->m_id);
+    co_return m_probeResult;
   }
   asio::awaitable<OrderOutcome> HoldLayers(RunnerPtr aEngine,
                                            LayerSpan aSpan,
                                            std::uint64_t /*aFence*/) override
   {
     m_orders.emplace_back(aEngine->m_id, aSpan);
-    co_return OrderOutcome::Taken;
+    co_return OrderOutcome::Accepted;
   }
 
-  EnginePresence m_presence = EnginePresence::Answers;
-  std::vector<std::string> m_asked;
+  EngineProbeResult m_probeResult = EngineProbeResult::Answered;
+  std::vector<std::string> m_probed;
   std::vector<std::pair<std::string, LayerSpan>> m_orders;
 };
 
 } // namespace
 
 // clang-format off
-TEST_GROUP(PlacementDirector)
+TEST_GROUP(PlacementController)
 {
   boost::asio::io_context m_context;
   FakeControl m_control;
   MemorySink m_sink;
   DecisionLog m_log{ "vm-1", m_sink };
   platform::ConfigDocument m_codec;
-  FakeOrders m_orders;
-  PlacementDirector m_director{
+  FakeEngineOrders m_orders;
+  PlacementController m_controller{
     m_context, m_control, m_codec, m_orders, m_log, [] { return 7ULL; }
   };
 
@@ -107,7 +107,7 @@
   }
   bool RunUntil(const std::function<bool()>& aCondition)
   {
-    m_director.Start();
+    m_controller.Start();
     const auto deadline = BootClock::now() + std::chrono::seconds(30);
     while (!aCondition() && BootClock::now() < deadline) {
       m_context.run_one_for(std::chrono::milliseconds(100));
@@ -118,24 +118,24 @@
 // clang-format on
 
 // Load pattern: an engine of a zone's only chain crashes at the peak.
-TEST(PlacementDirector, AnEngineThatIsGoneIsReplaced)
+TEST(PlacementController, AnEngineThatIsGoneIsReplaced)
 {
-  m_orders.m_presence = EnginePresence::Gone;
+  m_orders.m_probeResult = EngineProbeResult::Unreachable;
   Suspect("e2");
   CHECK(RunUntil([this] { return !m_orders.m_orders.empty(); }));
   STRCMP_EQUAL("e1", m_orders.m_orders[0].first.c_str());
   CHECK_EQUAL(0U, m_orders.m_orders[0].second.m_first);
   CHECK_EQUAL(4U, m_orders.m_orders[0].second.m_end);
-  CHECK_EQUAL(1U, m_orders.m_asked.size());
+  CHECK_EQUAL(1U, m_orders.m_probed.size());
   CHECK(m_sink.Has(
     { "endpoint_suspected", "\"e2\"", "nothing listens at its address" }));
 }
 
 // The report was wrong: the engine announces itself within 1.2 s.
-TEST(PlacementDirector, AnEngineThatAnswersIsToldSo)
+TEST(PlacementController, AnEngineThatAnswersIsToldSo)
 {
   Suspect("e2");
-  CHECK(RunUntil([this] { return !m_orders.m_asked.empty(); }));
+  CHECK(RunUntil([this] { return !m_orders.m_probed.empty(); }));
   CHECK(RunUntil([this] {
     return m_sink.Has(
       { "endpoint_cleared", "\"e2\"", "it answers the leader" });
@@ -143,11 +143,11 @@
   CHECK(m_orders.m_orders.empty());
 }
 
-TEST(PlacementDirector, OnlySuspectedEnginesAreAsked)
+TEST(PlacementController, OnlySuspectedEnginesAreAsked)
 {
   Suspect("e1");
-  CHECK(RunUntil([this] { return m_orders.m_asked.size() >= 2; }));
-  for (const std::string& asked : m_orders.m_asked) {
+  CHECK(RunUntil([this] { return m_orders.m_probed.size() >= 2; }));
+  for (const std::string& asked : m_orders.m_probed) {
     STRCMP_EQUAL("e1", asked.c_str());
   }
 }
--- a/Tests/Platform/ConfigDocumentTest.cxx
+++ b/Tests/Platform/ConfigDocumentTest.cxx
@@ -34,7 +34,7 @@
 }
 
 std::string
-Fault(const std::string& aText)
+DecodeError(const std::string& aText)
 {
   RoutingReason reason;
   CHECK_FALSE(platform::ConfigDocument().Decode(aText, reason));
@@ -61,7 +61,7 @@
   CHECK(config->FindRoute("one.example", "/b/")->m_kind == RequestKind::Unsafe);
   const LayeredModel& model = *config->FindService("s1")->m_model;
   CHECK_EQUAL(80U, model.m_layers);
-  DOUBLES_EQUAL(16, model.FindKind("l4")->m_stepPace, 1e-9);
+  DOUBLES_EQUAL(16, model.FindKind("l4")->m_stepTimeFactor, 1e-9);
   CHECK_FALSE(config->FindService("s2")->m_model.has_value());
   STRCMP_EQUAL("t1", config->FindAccount("k1")->m_name.c_str());
   CHECK_EQUAL(4194304U, config->Limits().m_maxBodyBytes);
@@ -70,7 +70,7 @@
 TEST(ConfigDocument, CutShortAnywhereItIsRefused)
 {
   for (std::size_t size = 0; size < kDocument.size(); size += 7) {
-    const std::string fault = Fault(kDocument.substr(0, size));
+    const std::string fault = DecodeError(kDocument.substr(0, size));
     CHECK(fault.find("expected") != std::string::npos);
   }
 }
@@ -79,24 +79,29 @@
 {
   STRCMP_EQUAL(
     "configuration: \"version\": expected a whole number of 0 or more",
-    Fault(Replace(kDocument, "\"version\":7", "\"version\":\"x\"")).c_str());
-  STRCMP_EQUAL("routes 1: \"timeout-ms\": expected a whole number of 0 or more",
-               Fault(Replace(kDocument, "\"timeout-ms\":1000,", "")).c_str());
+    DecodeError(Replace(kDocument, "\"version\":7", "\"version\":\"x\""))
+      .c_str());
+  STRCMP_EQUAL(
+    "routes 1: \"timeout-ms\": expected a whole number of 0 or more",
+    DecodeError(Replace(kDocument, "\"timeout-ms\":1000,", "")).c_str());
   STRCMP_EQUAL(
     "routes 0: \"allow-anonymous\": expected true or false",
-    Fault(
+    DecodeError(
       Replace(kDocument, "\"allow-anonymous\":false", "\"allow-anonymous\":3"))
       .c_str());
-  STRCMP_EQUAL("configuration: \"routes\": expected a list",
-               Fault(R"({"version":1,"routes":{},"services":[]})").c_str());
+  STRCMP_EQUAL(
+    "configuration: \"routes\": expected a list",
+    DecodeError(R"({"version":1,"routes":{},"services":[]})").c_str());
 }
 
 TEST(ConfigDocument, RulesOfTheProductHold)
 {
-  CHECK(Fault(Replace(kDocument, "\"service\":\"s2\"}]", "\"service\":\"x\"}]"))
+  CHECK(DecodeError(
+          Replace(kDocument, "\"service\":\"s2\"}]", "\"service\":\"x\"}]"))
           .find("is unknown") != std::string::npos);
-  CHECK(Fault(Replace(kDocument, "\"timeout-ms\":1000", "\"timeout-ms\":0"))
-          .find("time-out is 0") != std::string::npos);
+  CHECK(
+    DecodeError(Replace(kDocument, "\"timeout-ms\":1000", "\"timeout-ms\":0"))
+      .find("time-out is 0") != std::string::npos);
 }
 
 TEST(ConfigDocument, AKindThatIsNotKnownIsNeverRepeated)
@@ -104,7 +109,7 @@
   RoutingReason reason;
   const auto config = platform::ConfigDocument().Decode(
     Replace(kDocument, "\"kind\":\"unsafe\"", "\"kind\":\"later\""), reason);
-  CHECK_FALSE(config->FindRoute("one.example", "/b/")->MayRepeat());
+  CHECK_FALSE(config->FindRoute("one.example", "/b/")->CanRetry());
 }
 
 TEST(ConfigDocument, WithoutTenantsNoKeyIsNeeded)
--- a/Tests/Platform/ControlApiTest.cxx
+++ b/Tests/Platform/ControlApiTest.cxx
@@ -25,7 +25,7 @@
 }
 
 std::string
-MakeBeat(const std::string& aState, int aSequence, int aBorn = 5)
+MakeHeartbeat(const std::string& aState, int aSequence, int aBorn = 5)
 {
   return R"({"service":"s1","address":"10.1.0.9:8080","zone":"z","slots":6,)"
          R"("state":")" +
@@ -62,11 +62,11 @@
     m_context.run();
     return std::move(*answer);
   }
-  unsigned Put(const std::string& aBody)
+  unsigned PutConfig(const std::string& aBody)
   {
     return Call(http::verb::put, "/parsleycove/config", aBody).result_int();
   }
-  unsigned Beat(const std::string& aBody)
+  unsigned SendHeartbeat(const std::string& aBody)
   {
     return Call(http::verb::put, "/parsleycove/instances/i-1", aBody)
       .result_int();
@@ -89,7 +89,7 @@
     command.body.Set(std::move(announce));
     CHECK(m_control.Apply(command).code == state::ResultCode::Ok);
   }
-  const state::EndpointT* Listed()
+  const state::EndpointT* FindListed()
   {
     m_view = m_control.View();
     return m_view->FindEndpoint("i-1");
@@ -101,9 +101,9 @@
 
 TEST(ControlApi, TheHighestVersionIsKeptAndEveryAcceptedOneAcknowledged)
 {
-  CHECK_EQUAL(200U, Put(MakeConfig(7)));
-  CHECK_EQUAL(200U, Put(MakeConfig(7)));
-  CHECK_EQUAL(200U, Put(MakeConfig(3)));
+  CHECK_EQUAL(200U, PutConfig(MakeConfig(7)));
+  CHECK_EQUAL(200U, PutConfig(MakeConfig(7)));
+  CHECK_EQUAL(200U, PutConfig(MakeConfig(3)));
   const HttpResponse answer = Call(http::verb::get, "/parsleycove/config");
   CHECK_EQUAL(200U, answer.result_int());
   CHECK(answer.body() == MakeConfig(7));
@@ -111,8 +111,8 @@
 
 TEST(ControlApi, OtherContentUnderAVersionThatIsHeldChangesNothing)
 {
-  Put(MakeConfig(7));
-  Put(MakeConfig(7, ",\"tenants\":[]"));
+  PutConfig(MakeConfig(7));
+  PutConfig(MakeConfig(7, ",\"tenants\":[]"));
   CHECK(Call(http::verb::get, "/parsleycove/config").body() == MakeConfig(7));
 }
 
@@ -129,34 +129,34 @@
 TEST(ControlApi, AnOutcomeThatIsNotKnownIsNoAcknowledgement)
 {
   m_control.SetFate([](const auto&) { return ProposalFate::AnswerLost; });
-  CHECK_EQUAL(503U, Put(MakeConfig(7)));
+  CHECK_EQUAL(503U, PutConfig(MakeConfig(7)));
   m_control.SetFate([](const auto&) { return ProposalFate::Applied; });
-  CHECK_EQUAL(200U, Put(MakeConfig(7)));
+  CHECK_EQUAL(200U, PutConfig(MakeConfig(7)));
 }
 
 TEST(ControlApi, AHeartbeatRegistersARunnerAndADrainingOneLeaves)
 {
-  CHECK_EQUAL(200U, Beat(MakeBeat("ready", 1)));
-  CHECK(Listed()->phase == state::EndpointPhase::Ready);
-  CHECK_EQUAL(200U, Beat(MakeBeat("ready", 2)));
-  CHECK_EQUAL(200U, Beat(MakeBeat("draining", 3)));
-  CHECK(Listed()->phase == state::EndpointPhase::Leaving);
+  CHECK_EQUAL(200U, SendHeartbeat(MakeHeartbeat("ready", 1)));
+  CHECK(FindListed()->phase == state::EndpointPhase::Ready);
+  CHECK_EQUAL(200U, SendHeartbeat(MakeHeartbeat("ready", 2)));
+  CHECK_EQUAL(200U, SendHeartbeat(MakeHeartbeat("draining", 3)));
+  CHECK(FindListed()->phase == state::EndpointPhase::Leaving);
   // A late heartbeat does not bring it back.
-  CHECK_EQUAL(200U, Beat(MakeBeat("ready", 2)));
-  CHECK(Listed()->phase == state::EndpointPhase::Leaving);
+  CHECK_EQUAL(200U, SendHeartbeat(MakeHeartbeat("ready", 2)));
+  CHECK(FindListed()->phase == state::EndpointPhase::Leaving);
 }
 
 TEST(ControlApi, ALateHeartbeatOfAnEarlierStartChangesNothing)
 {
-  Beat(MakeBeat("ready", 1, 9));
-  CHECK_EQUAL(200U, Beat(MakeBeat("draining", 40, 5)));
-  CHECK(Listed()->phase == state::EndpointPhase::Ready);
-  CHECK_EQUAL(9U, Listed()->incarnation);
+  SendHeartbeat(MakeHeartbeat("ready", 1, 9));
+  CHECK_EQUAL(200U, SendHeartbeat(MakeHeartbeat("draining", 40, 5)));
+  CHECK(FindListed()->phase == state::EndpointPhase::Ready);
+  CHECK_EQUAL(9U, FindListed()->incarnation);
 }
 
 TEST(ControlApi, AHeartbeatClearsASuspicion)
 {
-  Beat(MakeBeat("ready", 1));
+  SendHeartbeat(MakeHeartbeat("ready", 1));
   state::SuspectEndpointT suspect;
   suspect.endpoint = std::make_unique<state::EndpointRefT>();
   suspect.endpoint->id = "i-1";
@@ -164,18 +164,18 @@
   state::CommandT command;
   command.body.Set(std::move(suspect));
   m_control.Apply(command);
-  CHECK(Listed()->suspected);
-  Beat(MakeBeat("ready", 2));
-  CHECK_FALSE(Listed()->suspected);
+  CHECK(FindListed()->suspected);
+  SendHeartbeat(MakeHeartbeat("ready", 2));
+  CHECK_FALSE(FindListed()->suspected);
 }
 
 TEST(ControlApi, ALeaveIsAcknowledgedWhetherKnownOrNot)
 {
   const std::string path = "/parsleycove/instances/i-1";
   CHECK_EQUAL(200U, Call(http::verb::delete_, path).result_int());
-  Beat(MakeBeat("ready", 1));
+  SendHeartbeat(MakeHeartbeat("ready", 1));
   CHECK_EQUAL(200U, Call(http::verb::delete_, path).result_int());
-  CHECK(Listed()->phase == state::EndpointPhase::Leaving);
+  CHECK(FindListed()->phase == state::EndpointPhase::Leaving);
 }
 
 // Load pattern: all control VMs were killed, and a runner leaves while the
@@ -183,7 +183,7 @@
 TEST(ControlApi, ALeaveIsNotAcknowledgedByACopyThatMayBeOld)
 {
   m_control.SetConfirm([] { return false; });
-  CHECK_EQUAL(503U, Beat(MakeBeat("draining", 2)));
+  CHECK_EQUAL(503U, SendHeartbeat(MakeHeartbeat("draining", 2)));
   CHECK_EQUAL(
     503U, Call(http::verb::delete_, "/parsleycove/instances/i-1").result_int());
 }
@@ -194,22 +194,22 @@
     Announce();
     return true;
   });
-  CHECK_EQUAL(200U, Beat(MakeBeat("draining", 2)));
-  CHECK(Listed() != nullptr);
-  CHECK(Listed()->phase == state::EndpointPhase::Leaving);
+  CHECK_EQUAL(200U, SendHeartbeat(MakeHeartbeat("draining", 2)));
+  CHECK(FindListed() != nullptr);
+  CHECK(FindListed()->phase == state::EndpointPhase::Leaving);
 }
 
 TEST(ControlApi, ABrokenHeartbeatIsRefusedAndNothingElseIsLost)
 {
-  Beat(MakeBeat("ready", 1));
-  CHECK_EQUAL(400U, Beat("{\"service\":3"));
-  CHECK(Listed() != nullptr);
+  SendHeartbeat(MakeHeartbeat("ready", 1));
+  CHECK_EQUAL(400U, SendHeartbeat("{\"service\":3"));
+  CHECK(FindListed() != nullptr);
 }
 
 TEST(ControlApi, AHeartbeatThatCannotBeStoredIsNotAcknowledged)
 {
   m_control.SetFate([](const auto&) { return ProposalFate::NotAccepted; });
-  CHECK_EQUAL(503U, Beat(MakeBeat("ready", 1)));
+  CHECK_EQUAL(503U, SendHeartbeat(MakeHeartbeat("ready", 1)));
 }
 
 TEST(ControlApi, UnknownCallsAreToldSo)
--- a/Tests/Platform/DialectTest.cxx
+++ b/Tests/Platform/DialectTest.cxx
@@ -24,14 +24,14 @@
   m_fields.set("Token-Usage", "1460,80");
   m_fields.set("Length-Hint", "60");
   m_fields.set("Last-Event-Id", "12");
-  const CallerMarks marks = m_dialect.ReadCaller(m_fields);
-  CHECK(marks.m_attemptId == "a1");
-  CHECK(marks.m_patience == std::chrono::seconds(20));
-  CHECK(marks.m_key == "k1");
-  CHECK_EQUAL(1460U, marks.m_promptTokens);
-  CHECK_EQUAL(80U, marks.m_maxAnswerTokens);
-  CHECK_EQUAL(60U, marks.m_expectedAnswerTokens);
-  CHECK_EQUAL(12U, *marks.m_lastEventId);
+  const CallerHeaders headers = m_dialect.ParseCallerHeaders(m_fields);
+  CHECK(headers.m_attemptId == "a1");
+  CHECK(headers.m_timeout == std::chrono::seconds(20));
+  CHECK(headers.m_apiKey == "k1");
+  CHECK_EQUAL(1460U, headers.m_promptTokens);
+  CHECK_EQUAL(80U, headers.m_maxAnswerTokens);
+  CHECK_EQUAL(60U, headers.m_expectedAnswerTokens);
+  CHECK_EQUAL(12U, *headers.m_lastEventId);
 }
 
 TEST(PlatformDialect, PassesOverWhatCannotBeRead)
@@ -39,10 +39,10 @@
   m_fields.set("Deadline-Ms", "soon");
   m_fields.set("Authorization", "Basic x");
   m_fields.set("Token-Usage", "7");
-  const CallerMarks marks = m_dialect.ReadCaller(m_fields);
-  CHECK_FALSE(marks.m_patience.has_value());
-  CHECK(marks.m_key.empty());
-  CHECK_EQUAL(0U, marks.m_promptTokens);
+  const CallerHeaders headers = m_dialect.ParseCallerHeaders(m_fields);
+  CHECK_FALSE(headers.m_timeout.has_value());
+  CHECK(headers.m_apiKey.empty());
+  CHECK_EQUAL(0U, headers.m_promptTokens);
 }
 
 TEST(PlatformDialect, ReadsAnAnswersMarks)
@@ -50,38 +50,38 @@
   m_fields.set("Attempt-Id", "a1");
   m_fields.set("Response-Signature", "s");
   m_fields.set("Instance-Load", "3,1,8");
-  const AnswerMarks marks = m_dialect.ReadAnswer(200, m_fields);
-  CHECK(marks.m_isSigned);
-  CHECK_FALSE(marks.m_isNotRun);
-  CHECK_EQUAL(3U, marks.m_load->m_running);
-  CHECK_EQUAL(1U, marks.m_load->m_waiting);
-  CHECK_EQUAL(8U, marks.m_load->m_slots);
+  const AnswerHeaders headers = m_dialect.ParseAnswerHeaders(200, m_fields);
+  CHECK(headers.m_isSigned);
+  CHECK_FALSE(headers.m_isNotExecuted);
+  CHECK_EQUAL(3U, headers.m_load->m_running);
+  CHECK_EQUAL(1U, headers.m_load->m_waiting);
+  CHECK_EQUAL(8U, headers.m_load->m_slots);
 }
 
 TEST(PlatformDialect, OnlyTheMarkOr421SaysThatNothingRan)
 {
-  CHECK_FALSE(m_dialect.ReadAnswer(503, m_fields).m_isNotRun);
-  CHECK(m_dialect.ReadAnswer(421, m_fields).m_isNotRun);
+  CHECK_FALSE(m_dialect.ParseAnswerHeaders(503, m_fields).m_isNotExecuted);
+  CHECK(m_dialect.ParseAnswerHeaders(421, m_fields).m_isNotExecuted);
   m_fields.set("Not-Executed", "1");
-  CHECK(m_dialect.ReadAnswer(503, m_fields).m_isNotRun);
+  CHECK(m_dialect.ParseAnswerHeaders(503, m_fields).m_isNotExecuted);
 }
 
 TEST(PlatformDialect, StatusesThatPromiseAreKnown)
 {
   for (const unsigned status : { 408U, 421U, 429U, 503U }) {
-    CHECK(m_dialect.IsPromise(status));
+    CHECK(m_dialect.IsNotExecutedStatus(status));
   }
   for (const unsigned status : { 200U, 404U, 500U, 502U, 504U }) {
-    CHECK_FALSE(m_dialect.IsPromise(status));
+    CHECK_FALSE(m_dialect.IsNotExecutedStatus(status));
   }
 }
 
 TEST(PlatformDialect, ReadsAnEnginesState)
 {
-  const auto state = m_dialect.ReadState(R"({"pace":2.5,"born":77})");
-  DOUBLES_EQUAL(2.5, state->m_pace, 1e-9);
+  const auto state = m_dialect.ParseEngineState(R"({"pace":2.5,"born":77})");
+  DOUBLES_EQUAL(2.5, state->m_slowdown, 1e-9);
   CHECK_EQUAL(77U, *state->m_incarnation);
-  CHECK_FALSE(m_dialect.ReadState("no json").has_value());
+  CHECK_FALSE(m_dialect.ParseEngineState("no json").has_value());
 }
 
 TEST(PlatformDialect, WritesAnOrderToTakeAnotherPath)
@@ -93,7 +93,7 @@
   second->m_address = { "10.0.0.2", 8081 };
   StagePath path;
   path.m_stages = { { first, { 0, 20 }, 0 }, { second, { 20, 80 }, 0 } };
-  const HttpRequest order = m_dialect.MakeReroute("a1", path);
+  const HttpRequest order = m_dialect.MakeRerouteOrder("a1", path);
   STRCMP_EQUAL("{\"operation\":\"repath\",\"id\":\"a1\","
                "\"path\":\"10.0.0.1:8080=0-20,10.0.0.2:8081=20-80\"}",
                order.body().c_str());
@@ -103,13 +103,14 @@
 
 TEST(PlatformDialect, ReadsWhyAnotherPathWasRefused)
 {
-  CHECK(m_dialect.ReadReroute(202, "").m_isTaken);
-  CHECK(m_dialect.ReadReroute(200, "{}").m_isTaken);
+  CHECK(m_dialect.ParseRerouteAnswer(202, "").m_isAccepted);
+  CHECK(m_dialect.ParseRerouteAnswer(200, "{}").m_isAccepted);
   const RerouteAnswer full =
-    m_dialect.ReadReroute(409, "{\"address\":\"10.0.0.2:8081\"}");
-  CHECK_FALSE(full.m_isTaken);
+    m_dialect.ParseRerouteAnswer(409, "{\"address\":\"10.0.0.2:8081\"}");
+  CHECK_FALSE(full.m_isAccepted);
   STRCMP_EQUAL("10.0.0.2:8081", full.m_faultAddress.c_str());
-  CHECK(m_dialect.ReadReroute(409, "{\"address\":7}").m_faultAddress.empty());
-  CHECK(m_dialect.ReadReroute(404, "no JSON").m_faultAddress.empty());
-  CHECK_FALSE(m_dialect.ReadReroute(404, "").m_isTaken);
+  CHECK(m_dialect.ParseRerouteAnswer(409, "{\"address\":7}")
+          .m_faultAddress.empty());
+  CHECK(m_dialect.ParseRerouteAnswer(404, "no JSON").m_faultAddress.empty());
+  CHECK_FALSE(m_dialect.ParseRerouteAnswer(404, "").m_isAccepted);
 }
--- a/Tests/Platform/RunnerReportTest.cxx
+++ b/Tests/Platform/RunnerReportTest.cxx
@@ -25,7 +25,7 @@
 }
 
 std::string
-Fault(const std::string& aBody)
+ReadError(const std::string& aBody)
 {
   std::string fault;
   CHECK_FALSE(ReadRunnerReport("i-1", aBody, fault).has_value());
@@ -81,13 +81,13 @@
 TEST(RunnerReport, NamesWhatIsWrong)
 {
   STRCMP_EQUAL("heartbeat: expected a whole JSON object",
-               Fault("\x01\x02").c_str());
+               ReadError("\x01\x02").c_str());
   STRCMP_EQUAL("heartbeat: \"state\": expected ready or draining",
-               Fault(Replace(kReport, "\"ready\"", "\"odd\"")).c_str());
+               ReadError(Replace(kReport, "\"ready\"", "\"odd\"")).c_str());
   STRCMP_EQUAL("heartbeat: \"address\": expected an IP number with a port",
-               Fault(Replace(kReport, "10.1.0.9:8080", "host:1")).c_str());
+               ReadError(Replace(kReport, "10.1.0.9:8080", "host:1")).c_str());
   STRCMP_EQUAL("heartbeat: \"slots\": expected a whole number of 0 or more",
-               Fault(Replace(kReport, "192", "\"many\"")).c_str());
+               ReadError(Replace(kReport, "192", "\"many\"")).c_str());
   STRCMP_EQUAL("heartbeat: \"service\": expected a text",
-               Fault(Replace(kReport, "\"service\":\"s1\",", "")).c_str());
+               ReadError(Replace(kReport, "\"service\":\"s1\",", "")).c_str());
 }
--- a/Tests/Routing/AdmissionControllerTest.cxx
+++ b/Tests/Routing/AdmissionControllerTest.cxx
@@ -40,10 +40,10 @@
 
 TEST_GROUP(AdmissionController)
 {
-  AdmissionAnswer Submit(std::uint64_t aId,
-                         const std::string& aAccount,
-                         Duration aTime = std::chrono::seconds(2),
-                         double aCost = 10)
+  AdmissionDecision Submit(std::uint64_t aId,
+                           const std::string& aAccount,
+                           Duration aTime = std::chrono::seconds(2),
+                           double aCost = 10)
   {
     const ClassTargets targets = MakeTargets("answers", aTime);
     return m_controller.Submit(
@@ -122,21 +122,21 @@
   // 50 outstanding at first; then the queue grows by 10 each, 100 a second, up
   // to 0.8 of the second that is left beside half the target for the service.
   std::uint64_t id = 0;
-  AdmissionAnswer answer;
+  AdmissionDecision decision;
   do {
-    answer = Submit(++id, "a");
-  } while (answer.m_verdict != AdmissionVerdict::Refused);
+    decision = Submit(++id, "a");
+  } while (decision.m_status != AdmissionStatus::Refused);
   CHECK_EQUAL(5 + 8 + 1, id);
-  CHECK(answer.m_retryAfter > Duration::zero());
-  CHECK(answer.m_retryAfter < std::chrono::seconds(2));
+  CHECK(decision.m_retryAfter > Duration::zero());
+  CHECK(decision.m_retryAfter < std::chrono::seconds(2));
   // Another account has its own share of the queue.
-  CHECK(Submit(++id, "b").m_verdict == AdmissionVerdict::Queued);
+  CHECK(Submit(++id, "b").m_status == AdmissionStatus::Queued);
 }
 
 TEST(AdmissionController, WithoutCapacityNothingWaits)
 {
-  const AdmissionAnswer unknown = Submit(1, "a");
-  CHECK(unknown.m_verdict == AdmissionVerdict::Refused);
+  const AdmissionDecision unknown = Submit(1, "a");
+  CHECK(unknown.m_status == AdmissionStatus::Refused);
   CHECK(unknown.m_refusal == AdmissionRefusal::NoCapacity);
   CHECK(unknown.m_retryAfter > Duration::zero());
 }
@@ -234,7 +234,7 @@
   }
   // 80 may wait: 5 of the small accounts and 7 requests of 10.
   std::uint64_t id = 20;
-  while (Submit(id, "a").m_verdict == AdmissionVerdict::Queued) {
+  while (Submit(id, "a").m_status == AdmissionStatus::Queued) {
     ++id;
   }
   CHECK_EQUAL(20 + 7, id);
--- a/Tests/Routing/ChainPlannerTest.cxx
+++ b/Tests/Routing/ChainPlannerTest.cxx
@@ -23,7 +23,7 @@
 MakeAllPlanners()
 {
   PlannerSettings handedOn;
-  handedOn.m_transport = ChainTransport::HandedOn;
+  handedOn.m_transport = ChainTransport::Direct;
   std::vector<PlannerPtr> planners;
   planners.push_back(
     std::make_unique<ExpectedCompletionPlanner>(PlannerSettings{}, 1));
@@ -41,7 +41,7 @@
   request.m_model = aModel;
   request.m_promptTokens = 200;
   request.m_expectedTokens = 50;
-  request.m_ownZone = "a";
+  request.m_gatewayZone = "a";
   return request;
 }
 
@@ -235,7 +235,7 @@
   }
   const auto table = m_cluster.Build();
   for (const auto transport :
-       { ChainTransport::Relayed, ChainTransport::HandedOn }) {
+       { ChainTransport::Relayed, ChainTransport::Direct }) {
     settings.m_transport = transport;
     ExpectedCompletionPlanner planner(settings, 1);
     for (int i = 0; i < 20; ++i) {
@@ -295,7 +295,7 @@
   AddStages(2);
   const auto table = m_cluster.Build();
   RunnerLoad& silent = *table->FindRunner("2-0")->m_load;
-  silent.NoteSent(kTestStart);
+  silent.RecordSend(kTestStart);
   silent.StartStep(1);
   const TimePoint now = kTestStart + std::chrono::milliseconds(60);
   ExpectedCompletionPlanner planner(PlannerSettings{}, 1);
--- a/Tests/Routing/EngineFleet.cxx
+++ b/Tests/Routing/EngineFleet.cxx
@@ -14,7 +14,7 @@
   model.m_layerMb = 1750;
   model.m_tokenBytes = 426'000;
   model.m_stepMs = 0.85;
-  model.m_readTokensPerSecond = 272'000;
+  model.m_prefillTokensPerSecond = 272'000;
   model.m_kinds = { { "fast", 36'000, 3.1, 3.2 },
                     { "middle", 21'600, 16, 8.2 },
                     { "small", 14'400, 15, 15 } };
--- a/Tests/Routing/LayerLayoutTest.cxx
+++ b/Tests/Routing/LayerLayoutTest.cxx
@@ -25,7 +25,7 @@
 }
 
 double
-LeastRoom(const std::vector<LayoutHost>& aHosts, const std::string& aZone)
+LeastKvCapacity(const std::vector<LayoutHost>& aHosts, const std::string& aZone)
 {
   const LayeredModel model = MakeModel();
   double least = 1e9;
@@ -213,8 +213,8 @@
     // Zone c has no memory to spare: its borders stay where the loss put them,
     // with room for its daily rate, 50 streams of 900 tokens.
     const double least =
-      lost.m_zone == "c" ? 45'000 : LeastRoom(start, lost.m_zone);
-    CHECK_TEXT(LeastRoom(hosts, lost.m_zone) >= least, lost.m_id.c_str());
+      lost.m_zone == "c" ? 45'000 : LeastKvCapacity(start, lost.m_zone);
+    CHECK_TEXT(LeastKvCapacity(hosts, lost.m_zone) >= least, lost.m_id.c_str());
     CHECK_EQUAL(0U, m_layout.Plan(m_model, hosts).size());
   }
 }
@@ -240,11 +240,11 @@
     auto hosts = start;
     std::erase_if(hosts, [&](const auto& aHost) { return aHost.m_id == lost; });
     const auto orders = m_layout.Plan(m_model, hosts);
-    auto anew = hosts;
-    for (LayoutHost& host : anew) {
+    auto relaid = hosts;
+    for (LayoutHost& host : relaid) {
       host.m_holds = host.m_zone == "c" ? LayerSpan{} : host.m_holds;
     }
-    const auto newOrders = m_layout.Plan(m_model, anew);
+    const auto newOrders = m_layout.Plan(m_model, relaid);
     // The loss of a fast engine is as large as all that the others can spare.
     const bool isFast = std::string_view(lost) == "c-fast-1";
     const std::uint32_t loads = CountLoads(hosts, orders);
--- a/Tests/Routing/PathRepairTest.cxx
+++ b/Tests/Routing/PathRerouteTest.cxx
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "Routing/EngineFleet.h"
-#include "Routing/PathBook.h"
+#include "Routing/PathSelector.h"
 
 // Last, since its leak macros redefine new.
 #include <CppUTest/TestHarness.h>
@@ -33,11 +33,11 @@
 } // namespace
 
 // clang-format off
-TEST_GROUP(PathRepair)
+TEST_GROUP(PathReroute)
 {
   const LayeredModel m_model = MakeModel();
   std::vector<RunnerPtr> m_engines;
-  PathBook m_book{ "a" };
+  PathSelector m_selector{ "a" };
   StagePathPtr m_path;
 
   void setup() override
@@ -50,25 +50,25 @@
     std::vector<LayoutHost> hosts = MakeHosts(aGroups);
     ApplyOrders(hosts, LayerLayout().Plan(m_model, hosts));
     m_engines = MakeEngines(hosts);
-    m_book.SetEngines(m_model, m_engines);
-    m_path = m_book.Choose(Now(), { kTokens, 1, {}, {} }).m_path;
+    m_selector.SetEngines(m_model, m_engines);
+    m_path = m_selector.Choose(Now(), { kTokens, 1, {}, {} }).m_path;
   }
-  void Lose(std::size_t aStage) const
+  void FailStage(std::size_t aStage) const
   {
     m_path->m_stages[aStage].m_runner->m_load->Suspect(Now(),
       std::chrono::seconds(5));
   }
-  StagePathPtr Repair(const RepairRequest& aRequest = { kTokens, {}, 7 }) const
+  StagePathPtr Reroute(const RerouteRequest& aRequest = { kTokens, {}, 7 }) const
   {
-    return m_book.Repair(Now(), *m_path, aRequest);
+    return m_selector.Reroute(Now(), *m_path, aRequest);
   }
 };
 // clang-format on
 
-TEST(PathRepair, SoundStagesStayAndOnlyTheLostOneIsReplaced)
+TEST(PathReroute, SoundStagesStayAndOnlyTheLostOneIsReplaced)
 {
-  Lose(3);
-  const StagePathPtr path = Repair();
+  FailStage(3);
+  const StagePathPtr path = Reroute();
   CheckRunsEveryLayerOnce(*path);
   CHECK_EQUAL(0U, path->m_crossings);
   CHECK_FALSE(path->Uses(m_path->m_stages[3].m_runner->m_id));
@@ -82,28 +82,28 @@
   }
 }
 
-TEST(PathRepair, TwoLostStagesInARowAreOneGap)
+TEST(PathReroute, TwoLostStagesInARowAreOneGap)
 {
-  Lose(2);
-  Lose(3);
-  const StagePathPtr path = Repair();
+  FailStage(2);
+  FailStage(3);
+  const StagePathPtr path = Reroute();
   CheckRunsEveryLayerOnce(*path);
   CHECK_FALSE(path->Uses(m_path->m_stages[2].m_runner->m_id));
   CHECK_FALSE(path->Uses(m_path->m_stages[3].m_runner->m_id));
 }
 
-TEST(PathRepair, ThereIsNoneWithoutTheFirstStage)
+TEST(PathReroute, ThereIsNoneWithoutTheFirstStage)
 {
-  Lose(0);
-  CHECK(Repair() == nullptr);
+  FailStage(0);
+  CHECK(Reroute() == nullptr);
 }
 
-TEST(PathRepair, AnEngineThatRefusedIsNotAskedAgain)
+TEST(PathReroute, AnEngineThatRefusedIsNotAskedAgain)
 {
-  Lose(3);
-  RepairRequest request{ kTokens, {}, 7 };
+  FailStage(3);
+  RerouteRequest request{ kTokens, {}, 7 };
   for (int i = 0; i < 40; ++i) {
-    const StagePathPtr path = m_book.Repair(Now(), *m_path, request);
+    const StagePathPtr path = m_selector.Reroute(Now(), *m_path, request);
     if (!path) {
       return;
     }
@@ -120,32 +120,32 @@
   FAIL("engines that refused were asked again");
 }
 
-TEST(PathRepair, AStageThatIsExcludedCountsAsLost)
+TEST(PathReroute, AStageThatIsExcludedCountsAsLost)
 {
   const std::string slow = m_path->m_stages[2].m_runner->m_id;
-  const StagePathPtr path = Repair({ kTokens, { slow }, 7 });
+  const StagePathPtr path = Reroute({ kTokens, { slow }, 7 });
   CheckRunsEveryLayerOnce(*path);
   CHECK_FALSE(path->Uses(slow));
 }
 
-TEST(PathRepair, AnotherZoneStepsInWhereTheOwnOneCannot)
+TEST(PathReroute, AnotherZoneStepsInWhereTheOwnOneCannot)
 {
   Place({ { "a", "fast", 2 }, { "a", "middle", 6 }, { "b", "middle", 10 } });
-  Lose(m_path->m_stages.size() - 1);
-  const StagePathPtr path = Repair();
+  FailStage(m_path->m_stages.size() - 1);
+  const StagePathPtr path = Reroute();
   CheckRunsEveryLayerOnce(*path);
   CHECK(path->m_crossings > 0);
 }
 
 // Load pattern: fifty streams lose a stage in the same moment, each gateway
 // knows only its own. They do not all go to one engine.
-TEST(PathRepair, StreamsSpreadOverTheEnginesThatCanStepIn)
+TEST(PathReroute, StreamsSpreadOverTheEnginesThatCanStepIn)
 {
   Place({ { "a", "fast", 2 }, { "a", "middle", 40 } });
-  Lose(3);
+  FailStage(3);
   std::vector<std::string> used;
   for (std::uint64_t seed = 0; seed < 50; ++seed) {
-    const StagePathPtr path = Repair({ kTokens, {}, seed * 7919 });
+    const StagePathPtr path = Reroute({ kTokens, {}, seed * 7919 });
     for (const PathStage& stage : path->m_stages) {
       const std::string& id = stage.m_runner->m_id;
       if (!m_path->Uses(id) &&
@@ -159,30 +159,31 @@
 
 // An engine whose memory is taken is no help.
 // What speaks for the repaired path and for beginning anew.
-TEST(PathRepair, ARepairIsWeighedAgainstTheOtherPaths)
+TEST(PathReroute, ARepairIsWeighedAgainstTheOtherPaths)
 {
   m_path->First().m_load->RecordReport(Now(), 0, 100);
-  Lose(3);
-  const StagePathPtr path = Repair();
-  const RepairLoad load = m_book.WeighRepair(Now(), *m_path, *path, kTokens);
+  FailStage(3);
+  const StagePathPtr path = Reroute();
+  const RerouteLoad load =
+    m_selector.EstimateRerouteLoad(Now(), *m_path, *path, kTokens);
   DOUBLES_EQUAL(100, load.m_streams, 1);
   CHECK(load.m_paths >= 1);
-  CHECK(load.m_standInMs > 1);
-  CHECK(load.m_restartMs >= load.m_standInMs);
-  CHECK(load.m_wholePathMs > load.m_restartMs);
+  CHECK(load.m_replacementPrefillMs > 1);
+  CHECK(load.m_restartPrefillMs >= load.m_replacementPrefillMs);
+  CHECK(load.m_pathPrefillMs > load.m_restartPrefillMs);
 }
 
-TEST(PathRepair, FullEnginesDoNotStepIn)
+TEST(PathReroute, FullEnginesDoNotStepIn)
 {
-  Lose(3);
-  const StagePathPtr before = Repair();
+  FailStage(3);
+  const StagePathPtr before = Reroute();
   for (const PathStage& stage : before->m_stages) {
     if (!m_path->Uses(stage.m_runner->m_id)) {
-      stage.m_runner->m_load->HoldTokens(
-        static_cast<std::int32_t>(stage.m_tokenRoom));
+      stage.m_runner->m_load->ReserveTokens(
+        static_cast<std::int32_t>(stage.m_kvCapacityTokens));
     }
   }
-  const StagePathPtr after = Repair();
+  const StagePathPtr after = Reroute();
   for (const PathStage& stage : before->m_stages) {
     CHECK(m_path->Uses(stage.m_runner->m_id) || !after ||
           !after->Uses(stage.m_runner->m_id));
--- a/Tests/Routing/PathBookTest.cxx
+++ b/Tests/Routing/PathSelectorTest.cxx
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "Routing/EngineFleet.h"
-#include "Routing/PathBook.h"
+#include "Routing/PathSelector.h"
 #include "Routing/Random.h"
 
 // Last, since its leak macros redefine new.
@@ -18,7 +18,7 @@
 constexpr std::uint32_t kTokens = 900;
 constexpr std::uint32_t kPrompt = 800;
 // Room counts too, so two paths need not read equally long.
-constexpr double kUneven = 1.5;
+constexpr double kMaxImbalance = 1.5;
 
 TimePoint
 At(double aSeconds)
@@ -34,20 +34,21 @@
 }
 
 double
-LeastRoom(const StagePath& aPath)
+LeastKvCapacity(const StagePath& aPath)
 {
   return std::min_element(aPath.m_stages.begin(),
                           aPath.m_stages.end(),
                           [](const PathStage& aLeft, const PathStage& aRight) {
-                            return aLeft.m_tokenRoom < aRight.m_tokenRoom;
+                            return aLeft.m_kvCapacityTokens <
+                                   aRight.m_kvCapacityTokens;
                           })
-    ->m_tokenRoom;
+    ->m_kvCapacityTokens;
 }
 
 // How a replay chooses.
 enum class Chooser
 {
-  Book,
+  Selector,
   RoundRobin,
   LeastOutstanding,
 };
@@ -64,7 +65,7 @@
 struct Running
 {
   TimePoint m_end;
-  PathHold m_hold;
+  PathReservation m_reservation;
   StagePathPtr m_path;
   bool m_fits = true;
 };
@@ -74,14 +75,15 @@
 {
   return std::all_of(
     aPath.m_stages.begin(), aPath.m_stages.end(), [](const PathStage& aStage) {
-      return aStage.m_runner->m_load->HeldTokens() <= aStage.m_tokenRoom;
+      return aStage.m_runner->m_load->ReservedTokens() <=
+             aStage.m_kvCapacityTokens;
     });
 }
 
 // Streams of 2.6 s arrive at a rate for 10 s, four times the rate from second
 // 4 to 6. A stream whose engines have no memory left is preempted.
 ReplayResult
-ReplayBurst(Chooser aChooser, PathBook& aBook, double aRate)
+ReplayBurst(Chooser aChooser, PathSelector& aSelector, double aRate)
 {
   Random random(11);
   std::deque<Running> running;
@@ -96,14 +98,14 @@
       ++result.m_served;
       running.pop_front();
     }
-    const PathChoice choice = aBook.Choose(At(now), { kTokens, 1, {}, {} });
+    const PathChoice choice = aSelector.Choose(At(now), { kTokens, 1, {}, {} });
     StagePathPtr path = choice.m_path;
     if (aChooser == Chooser::RoundRobin) {
-      path = aBook.Paths()[turn++ % aBook.Paths().size()];
+      path = aSelector.Paths()[turn++ % aSelector.Paths().size()];
     } else if (aChooser == Chooser::LeastOutstanding) {
       path = *std::min_element(
-        aBook.Paths().begin(),
-        aBook.Paths().end(),
+        aSelector.Paths().begin(),
+        aSelector.Paths().end(),
         [](const StagePathPtr& aLeft, const StagePathPtr& aRight) {
           return aLeft->First().m_load->Streams() <
                  aRight->First().m_load->Streams();
@@ -115,7 +117,7 @@
     }
     path->m_stages.front().m_runner->m_load->AddStream();
     running.push_back(
-      { At(now + 2.6), PathHold(path, kTokens), path, FitsNow(*path) });
+      { At(now + 2.6), PathReservation(path, kTokens), path, FitsNow(*path) });
     for (Running& stream : running) {
       stream.m_fits = stream.m_fits && FitsNow(*stream.m_path);
     }
@@ -126,18 +128,18 @@
 } // namespace
 
 // clang-format off
-TEST_GROUP(PathBook)
+TEST_GROUP(PathSelector)
 {
   const LayeredModel m_model = MakeModel();
   std::vector<LayoutHost> m_hosts = MakeHosts(UsualGroups());
   std::vector<RunnerPtr> m_engines;
-  PathBook m_book{ "a" };
+  PathSelector m_selector{ "a" };
 
   void setup() override
   {
     ApplyOrders(m_hosts, LayerLayout().Plan(m_model, m_hosts));
     m_engines = MakeEngines(m_hosts);
-    m_book.SetEngines(m_model, m_engines);
+    m_selector.SetEngines(m_model, m_engines);
   }
 
   const RunnerPtr& Engine(const std::string& aId)
@@ -148,24 +150,24 @@
 
   StagePathPtr Choose(double aSeconds, const PathRequest& aRequest = { kTokens, 1, {}, {} })
   {
-    return m_book.Choose(At(aSeconds), aRequest).m_path;
+    return m_selector.Choose(At(aSeconds), aRequest).m_path;
   }
 };
 // clang-format on
 
-TEST(PathBook, TakesAPathWithinTheOwnZone)
+TEST(PathSelector, TakesAPathWithinTheOwnZone)
 {
   const StagePathPtr path = Choose(0);
   STRCMP_EQUAL("a", path->First().m_zone.c_str());
   CHECK_FALSE(Crosses(*path));
 }
 
-TEST(PathBook, TakesAnotherZoneWhenTheOwnPathFills)
+TEST(PathSelector, TakesAnotherZoneWhenTheOwnPathFills)
 {
-  std::deque<PathHold> holds;
+  std::deque<PathReservation> reservations;
   StagePathPtr path = Choose(0);
-  while (path && path->First().m_zone == "a" && holds.size() < 1000) {
-    holds.emplace_back(path, kTokens);
+  while (path && path->First().m_zone == "a" && reservations.size() < 1000) {
+    reservations.emplace_back(path, kTokens);
     path = Choose(0);
   }
   CHECK(path != nullptr);
@@ -173,23 +175,23 @@
   CHECK_FALSE(Crosses(*path));
 }
 
-TEST(PathBook, RefusesOnlyWhenEveryPathIsFull)
+TEST(PathSelector, RefusesOnlyWhenEveryPathIsFull)
 {
-  std::deque<PathHold> holds;
+  std::deque<PathReservation> reservations;
   while (const StagePathPtr path = Choose(0)) {
-    holds.emplace_back(path, kTokens);
-    CHECK(holds.size() < 10'000);
+    reservations.emplace_back(path, kTokens);
+    CHECK(reservations.size() < 10'000);
   }
-  const PathChoice choice = m_book.Choose(At(0), { kTokens, 1, {}, {} });
+  const PathChoice choice = m_selector.Choose(At(0), { kTokens, 1, {}, {} });
   CHECK(choice.m_isFull);
-  holds.pop_back();
+  reservations.pop_back();
   CHECK(Choose(0) != nullptr);
 }
 
 // Load pattern: an engine of the only path of a zone dies, and this gateway's
 // forty streams begin anew at the same moment. Reading all of them on the path
 // with the most room takes longer than a stream may pause.
-TEST(PathBook, StreamsThatBeginAnewAreSpreadByWhatIsToBeRead)
+TEST(PathSelector, StreamsThatBeginAnewAreSpreadByWhatIsToBeRead)
 {
   for (const RunnerPtr& engine : m_engines) {
     if (engine->m_zone == "a") {
@@ -197,36 +199,37 @@
     }
   }
   // The load of the path that would come first; the other one has more room.
-  std::deque<PathHold> holds;
-  m_book.Invalidate();
+  std::deque<PathReservation> reservations;
+  m_selector.Invalidate();
   const StagePathPtr first = Choose(0);
   for (int i = 0; i < 40; ++i) {
-    holds.emplace_back(first, kTokens);
+    reservations.emplace_back(first, kTokens);
   }
   // Until a path's prompts have been read, in milliseconds.
-  std::map<std::string, double> reading;
+  std::map<std::string, double> prefillMs;
   for (int i = 0; i < 40; ++i) {
     const StagePathPtr path = Choose(0, { kTokens, 1, {}, {}, kPrompt });
     CHECK(path != nullptr);
     CHECK_FALSE(Crosses(*path));
-    reading[path->First().m_zone] += kPrompt * path->m_readMs;
-    holds.emplace_back(path, kTokens, kPrompt);
+    prefillMs[path->First().m_zone] += kPrompt * path->m_prefillMs;
+    reservations.emplace_back(path, kTokens, kPrompt);
   }
-  CHECK_EQUAL(2U, reading.size());
-  const double even = (reading.begin()->second + reading.rbegin()->second) / 2;
-  for (const auto& [zone, taken] : reading) {
-    CHECK(taken <= kUneven * even);
+  CHECK_EQUAL(2U, prefillMs.size());
+  const double even =
+    (prefillMs.begin()->second + prefillMs.rbegin()->second) / 2;
+  for (const auto& [zone, taken] : prefillMs) {
+    CHECK(taken <= kMaxImbalance * even);
   }
 }
 
 // Load pattern: the same under ninety gateways, each with one stream. What the
 // others choose at that moment is not known.
-TEST(PathBook, StreamsOfManyGatewaysThatBeginAnewSpread)
+TEST(PathSelector, StreamsOfManyGatewaysThatBeginAnewSpread)
 {
-  m_book.Invalidate();
+  m_selector.Invalidate();
   Choose(0);
   std::set<std::string> zones;
-  for (const StagePathPtr& path : m_book.Paths()) {
+  for (const StagePathPtr& path : m_selector.Paths()) {
     path->First().m_load->RecordReport(At(0), 0, 60);
     zones.insert(path->First().m_zone);
   }
@@ -243,19 +246,20 @@
 
 // Load pattern: five engines work four times as long while another zone is
 // down. Every event of their streams comes 290 ms after the one before it.
-TEST(PathBook, APathWhoseStreamsAreAllLateIsTakenWhereTheOthersAreFull)
+TEST(PathSelector, APathWhoseStreamsAreAllLateIsTakenWhereTheOthersAreFull)
 {
   const Duration target = std::chrono::milliseconds(200);
-  std::deque<PathHold> holds;
+  std::deque<PathReservation> reservations;
   Choose(0);
   std::set<std::string> zones;
-  for (const StagePathPtr& path : m_book.Paths()) {
+  for (const StagePathPtr& path : m_selector.Paths()) {
     const std::string& zone = path->First().m_zone;
     if (zone == "a") {
-      path->First().m_load->NoteEventGap(At(0), std::chrono::milliseconds(290));
+      path->First().m_load->RecordEventGap(At(0),
+                                           std::chrono::milliseconds(290));
     } else if (!Crosses(*path) && zones.insert(zone).second) {
-      holds.emplace_back(path,
-                         static_cast<std::uint32_t>(0.7 * LeastRoom(*path)));
+      reservations.emplace_back(
+        path, static_cast<std::uint32_t>(0.7 * LeastKvCapacity(*path)));
     }
   }
   PathRequest request{ kTokens, 1, {}, {}, kPrompt };
@@ -266,117 +270,119 @@
     if (path->First().m_zone == "a") {
       break;
     }
-    holds.emplace_back(path, kTokens);
+    reservations.emplace_back(path, kTokens);
   }
   STRCMP_EQUAL("a", Choose(0, request)->First().m_zone.c_str());
   // It is not known any more.
-  holds.clear();
+  reservations.clear();
   STRCMP_EQUAL("a", Choose(1.1, request)->First().m_zone.c_str());
 }
 
-TEST(PathBook, OnePauseOfABatchDoesNotMakeItsPathLate)
+TEST(PathSelector, OnePauseOfABatchDoesNotMakeItsPathLate)
 {
   RunnerLoad load;
   for (int i = 0; i < 200; ++i) {
-    load.NoteEventGap(At(0.001 * i), std::chrono::milliseconds(45));
+    load.RecordEventGap(At(0.001 * i), std::chrono::milliseconds(45));
   }
-  load.NoteEventGap(At(0.2), std::chrono::milliseconds(900));
+  load.RecordEventGap(At(0.2), std::chrono::milliseconds(900));
   CHECK(load.EventGap(At(0.2)) < std::chrono::milliseconds(200));
 }
 
 // The prompts have been read: only the room counts again.
-TEST(PathBook, APromptThatWasReadHoldsItsRoomOnly)
+TEST(PathSelector, APromptThatWasReadHoldsItsRoomOnly)
 {
   const StagePathPtr path = Choose(0);
-  PathHold hold(path, kTokens, kPrompt);
-  CHECK_EQUAL(static_cast<int>(kPrompt), path->First().m_load->UnreadTokens());
-  hold.NoteRead();
-  hold.NoteRead();
-  CHECK_EQUAL(0, path->First().m_load->UnreadTokens());
-  PathHold moved(std::move(hold));
-  CHECK_EQUAL(0, path->First().m_load->UnreadTokens());
-  CHECK_EQUAL(static_cast<int>(kTokens), path->First().m_load->HeldTokens());
+  PathReservation reservation(path, kTokens, kPrompt);
+  CHECK_EQUAL(static_cast<int>(kPrompt),
+              path->First().m_load->PendingPrefillTokens());
+  reservation.MarkPrefillDone();
+  reservation.MarkPrefillDone();
+  CHECK_EQUAL(0, path->First().m_load->PendingPrefillTokens());
+  PathReservation moved(std::move(reservation));
+  CHECK_EQUAL(0, path->First().m_load->PendingPrefillTokens());
+  CHECK_EQUAL(static_cast<int>(kTokens),
+              path->First().m_load->ReservedTokens());
 }
 
 // Load pattern: a burst fills the fast path while the others work three times
 // as long. A late answer is better than none.
-TEST(PathBook, ASlowPathWithRoomGoesBeforeAFullOne)
+TEST(PathSelector, ASlowPathWithRoomGoesBeforeAFullOne)
 {
-  std::deque<PathHold> holds;
+  std::deque<PathReservation> reservations;
   for (const RunnerPtr& engine : m_engines) {
     if (engine->m_zone != "a") {
-      engine->m_load->NotePace(At(0), 3);
+      engine->m_load->RecordSlowdown(At(0), 3);
     }
   }
-  m_book.Invalidate();
+  m_selector.Invalidate();
   Choose(0);
   std::set<std::string> filled;
-  for (const StagePathPtr& path : m_book.Paths()) {
+  for (const StagePathPtr& path : m_selector.Paths()) {
     const std::string& zone = path->First().m_zone;
     if (Crosses(*path) || !filled.insert(zone).second) {
       continue;
     }
     const double part = zone == "a" ? 0.96 : 0.5;
-    holds.emplace_back(path,
-                       static_cast<std::uint32_t>(part * LeastRoom(*path)));
+    reservations.emplace_back(
+      path, static_cast<std::uint32_t>(part * LeastKvCapacity(*path)));
   }
   const StagePathPtr path = Choose(0);
   CHECK(path != nullptr);
   CHECK(path->First().m_zone != "a");
 }
 
-TEST(PathBook, AvoidsASilentEngine)
+TEST(PathSelector, AvoidsASilentEngine)
 {
   const std::string first = Choose(0)->First().m_id;
   Engine(first)->m_load->Suspect(At(0), std::chrono::seconds(5));
-  m_book.Invalidate();
+  m_selector.Invalidate();
   CHECK_FALSE(Choose(0)->Uses(first));
 }
 
-TEST(PathBook, AvoidsAnEngineThatRefusesForAWhileOnly)
+TEST(PathSelector, AvoidsAnEngineThatRefusesForAWhileOnly)
 {
   const std::string first = Choose(0)->First().m_id;
-  Engine(first)->m_load->Shun(At(0), std::chrono::milliseconds(150));
+  Engine(first)->m_load->EjectFor(At(0), std::chrono::milliseconds(150));
   CHECK_FALSE(Choose(0.01)->Uses(first));
   CHECK(Choose(1)->Uses(first));
 }
 
-TEST(PathBook, RefusalsOneAfterAnotherDoubleTheTime)
+TEST(PathSelector, RefusalsOneAfterAnotherDoubleTheTime)
 {
   RunnerLoad load;
-  const Duration shun = std::chrono::milliseconds(150);
-  load.Shun(At(0), shun);
-  CHECK_FALSE(load.IsShunned(At(0.16)));
-  load.Shun(At(0.16), shun);
-  CHECK(load.IsShunned(At(0.45)));
-  CHECK_FALSE(load.IsShunned(At(0.47)));
-  load.Shun(At(5), shun);
-  CHECK_FALSE(load.IsShunned(At(5.16)));
+  const Duration ejection = std::chrono::milliseconds(150);
+  load.EjectFor(At(0), ejection);
+  CHECK_FALSE(load.IsEjected(At(0.16)));
+  load.EjectFor(At(0.16), ejection);
+  CHECK(load.IsEjected(At(0.45)));
+  CHECK_FALSE(load.IsEjected(At(0.47)));
+  load.EjectFor(At(5), ejection);
+  CHECK_FALSE(load.IsEjected(At(5.16)));
 }
 
-TEST(PathBook, AvoidsASlowEngine)
+TEST(PathSelector, AvoidsASlowEngine)
 {
   const std::string second = Choose(0)->m_stages[2].m_runner->m_id;
-  Engine(second)->m_load->NotePace(At(0), 12);
-  m_book.Invalidate();
+  Engine(second)->m_load->RecordSlowdown(At(0), 12);
+  m_selector.Invalidate();
   CHECK_FALSE(Choose(0)->Uses(second));
 }
 
 // Load pattern: the own zone's engines work four times as long.
-TEST(PathBook, PassesOverTheOwnZoneWhileItIsSlow)
+TEST(PathSelector, PassesOverTheOwnZoneWhileItIsSlow)
 {
   for (const RunnerPtr& engine : m_engines) {
     if (engine->m_zone == "a") {
-      engine->m_load->NotePace(At(0), 4);
+      engine->m_load->RecordSlowdown(At(0), 4);
     }
   }
-  m_book.Invalidate();
+  m_selector.Invalidate();
   const StagePathPtr path = Choose(0);
   CHECK(path->First().m_zone != "a");
   CHECK_FALSE(Crosses(*path));
 }
 
-TEST(PathBook, LeavesItsZoneOnlyWhereNoPathWithinAZoneIsLeft)
+TEST(PathSelector, LeavesItsZoneOnlyWhereNoPathWithinAZoneIsLeft)
 {
   // The first stages of all zones but one: what is left must cross.
   for (const RunnerPtr& engine : m_engines) {
@@ -384,50 +390,51 @@
       engine->m_load->Suspect(At(0), std::chrono::seconds(5));
     }
   }
-  m_book.Invalidate();
+  m_selector.Invalidate();
   const StagePathPtr path = Choose(0);
   STRCMP_EQUAL("b", path->First().m_zone.c_str());
   CHECK_FALSE(Crosses(*path));
 }
 
-TEST(PathBook, PassesOverRunnersThatARequestWasSentTo)
+TEST(PathSelector, PassesOverRunnersThatARequestWasSentTo)
 {
   const std::string first = Choose(0)->First().m_id;
   CHECK_FALSE(Choose(0, { kTokens, 1, { first }, {} })->Uses(first));
 }
 
-TEST(PathBook, HoldsAndReleasesTokensOnEveryStage)
+TEST(PathSelector, HoldsAndReleasesTokensOnEveryStage)
 {
   const StagePathPtr path = Choose(0);
   {
-    PathHold hold(path, kTokens);
-    PathHold moved(std::move(hold));
+    PathReservation reservation(path, kTokens);
+    PathReservation moved(std::move(reservation));
     for (const PathStage& stage : path->m_stages) {
       CHECK_EQUAL(static_cast<int>(kTokens),
-                  stage.m_runner->m_load->HeldTokens());
+                  stage.m_runner->m_load->ReservedTokens());
     }
   }
   for (const PathStage& stage : path->m_stages) {
-    CHECK_EQUAL(0, stage.m_runner->m_load->HeldTokens());
+    CHECK_EQUAL(0, stage.m_runner->m_load->ReservedTokens());
   }
 }
 
 // Load pattern: traffic at the daily rate, four times as much for 2 s. Equal
-// turns overfill the small chain; the book refuses what has no room and lets
-// everything it takes fit.
-TEST(PathBook, ReplayOfABurstPreemptsNobody)
+// turns overfill the small chain; the selector refuses what has no room and
+// lets everything it takes fit.
+TEST(PathSelector, ReplayOfABurstPreemptsNobody)
 {
-  const ReplayResult book = ReplayBurst(Chooser::Book, m_book, 60);
+  const ReplayResult selector = ReplayBurst(Chooser::Selector, m_selector, 60);
   setup();
-  const ReplayResult turns = ReplayBurst(Chooser::RoundRobin, m_book, 60);
+  const ReplayResult turns = ReplayBurst(Chooser::RoundRobin, m_selector, 60);
   setup();
-  const ReplayResult least = ReplayBurst(Chooser::LeastOutstanding, m_book, 60);
-  CHECK_EQUAL(book.m_served, book.m_fitting);
-  CHECK(book.m_fitting > turns.m_fitting);
-  CHECK(book.m_fitting > least.m_fitting);
+  const ReplayResult least =
+    ReplayBurst(Chooser::LeastOutstanding, m_selector, 60);
+  CHECK_EQUAL(selector.m_served, selector.m_fitting);
+  CHECK(selector.m_fitting > turns.m_fitting);
+  CHECK(selector.m_fitting > least.m_fitting);
 }
 
-TEST(PathBook, ReplayOfTheDailyRateRefusesNobody)
+TEST(PathSelector, ReplayOfTheDailyRateRefusesNobody)
 {
   Random random(3);
   std::deque<Running> running;
@@ -437,6 +444,7 @@
     }
     const StagePathPtr path = Choose(now);
     CHECK(path != nullptr);
-    running.push_back({ At(now + 2.6), PathHold(path, kTokens), path, true });
+    running.push_back(
+      { At(now + 2.6), PathReservation(path, kTokens), path, true });
   }
 }
--- a/Tests/Routing/PlacementPlannerTest.cxx
+++ b/Tests/Routing/PlacementPlannerTest.cxx
@@ -42,7 +42,7 @@
     for (PlacementRunner& runner : aRunners) {
       if (runner.m_id == order.m_id) {
         CHECK(order.m_range.Length() <= runner.m_memoryLayers);
-        runner.m_holds = order.m_range;
+        runner.m_currentRange = order.m_range;
       }
     }
   }
@@ -90,9 +90,9 @@
 {
   auto runners = MakeMixedRunners();
   Apply(runners, m_planner.Plan(kLayers, runners));
-  const LayerRange lost = *runners[3].m_holds;
+  const LayerRange lost = *runners[3].m_currentRange;
   std::erase_if(runners, [&](const PlacementRunner& aRunner) {
-    return aRunner.m_holds == lost;
+    return aRunner.m_currentRange == lost;
   });
   const std::size_t left = runners.size();
   const Placement placement = m_planner.Plan(kLayers, runners);
--- a/Tests/Routing/QueueModel.cxx
+++ b/Tests/Routing/QueueModel.cxx
@@ -98,11 +98,11 @@
     const AdmissionRequest request{ id,        stream.m_account,
                                     kResource, stream.m_targets,
                                     1,         deadline };
-    const AdmissionAnswer answer = m_controller.Submit(m_now, request);
-    if (answer.m_verdict == AdmissionVerdict::Admitted) {
+    const AdmissionDecision decision = m_controller.Submit(m_now, request);
+    if (decision.m_status == AdmissionStatus::Admitted) {
       Begin(id);
-    } else if (answer.m_verdict == AdmissionVerdict::Refused) {
-      Refuse(id, answer.m_retryAfter);
+    } else if (decision.m_status == AdmissionStatus::Refused) {
+      Refuse(id, decision.m_retryAfter);
     }
   }
 
@@ -112,7 +112,7 @@
     for (const std::uint64_t id : batch.m_start) {
       Begin(id);
     }
-    for (const AdmissionRefused& refused : batch.m_refused) {
+    for (const RefusedRequest& refused : batch.m_refused) {
       Refuse(refused.m_id, refused.m_retryAfter);
     }
   }
--- a/Tests/Routing/RepairShareTest.cxx
+++ b/Tests/Routing/RerouteShareTest.cxx
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "Routing/Random.h"
-#include "Routing/RepairShare.h"
+#include "Routing/RerouteShare.h"
 
 // Last, since its leak macros redefine new.
 #include <CppUTest/TestHarness.h>
@@ -19,19 +19,19 @@
 // Streams that go on in time: those that are led round are read one after the
 // other by the engine that steps in, the others by the paths they begin at.
 int
-ReplayCrash(const RepairLoad& aLoad, double aShare)
+ReplayCrash(const RerouteLoad& aLoad, double aShare)
 {
   Random random(5);
   double here = 0;
-  std::vector<double> paths(aLoad.m_paths, aLoad.m_wholePathMs);
+  std::vector<double> paths(aLoad.m_paths, aLoad.m_pathPrefillMs);
   int inTime = 0;
   for (int i = 0; i < static_cast<int>(aLoad.m_streams); ++i) {
     if (random.Fraction() <= aShare) {
-      here += aLoad.m_standInMs;
+      here += aLoad.m_replacementPrefillMs;
       inTime += here <= kInTimeMs ? 1 : 0;
     } else {
       double& path = paths[random.Below(paths.size())];
-      path += aLoad.m_restartMs;
+      path += aLoad.m_restartPrefillMs;
       inTime += path <= kInTimeMs ? 1 : 0;
     }
   }
@@ -40,14 +40,14 @@
 
 } // namespace
 
-TEST_GROUP(RepairShare){};
+TEST_GROUP(RerouteShare){};
 
 // Load pattern: a chain of a grown fleet with a hundred streams loses an engine
 // and has one that can step in; eight other chains idle.
-TEST(RepairShare, MostOfAHundredStreamsBeginAnew)
+TEST(RerouteShare, MostOfAHundredStreamsBeginAnew)
 {
-  const RepairLoad load{ 104, 3.5, 4.8, 50, 8 };
-  const double share = ShareToLeadRound(load);
+  const RerouteLoad load{ 104, 3.5, 4.8, 50, 8 };
+  const double share = ComputeRerouteShare(load);
   CHECK(share < 0.4);
   const int inTime = ReplayCrash(load, share);
   CHECK(inTime > 2 * ReplayCrash(load, 1));
@@ -55,23 +55,23 @@
 }
 
 // Load pattern: the same in a small fleet with two other chains.
-TEST(RepairShare, MoreAreLedRoundWhereFewOtherPathsAreLeft)
+TEST(RerouteShare, MoreAreLedRoundWhereFewOtherPathsAreLeft)
 {
-  const RepairLoad load{ 40, 3, 4.8, 50, 2 };
-  const double share = ShareToLeadRound(load);
+  const RerouteLoad load{ 40, 3, 4.8, 50, 2 };
+  const double share = ComputeRerouteShare(load);
   CHECK(share > 0.5);
   const int inTime = ReplayCrash(load, share);
   CHECK(inTime >= ReplayCrash(load, 1));
   CHECK(inTime > ReplayCrash(load, 0));
 }
 
-TEST(RepairShare, AFewStreamsAreAllLedRound)
+TEST(RerouteShare, AFewStreamsAreAllLedRound)
 {
-  DOUBLES_EQUAL(1, ShareToLeadRound({ 12, 3, 4.8, 50, 8 }), 1e-9);
+  DOUBLES_EQUAL(1, ComputeRerouteShare({ 12, 3, 4.8, 50, 8 }), 1e-9);
 }
 
-TEST(RepairShare, AllAreLedRoundWithoutOtherPaths)
+TEST(RerouteShare, AllAreLedRoundWithoutOtherPaths)
 {
-  DOUBLES_EQUAL(1, ShareToLeadRound({ 100, 3, 0, 0, 0 }), 1e-9);
-  DOUBLES_EQUAL(1, ShareToLeadRound({}), 1e-9);
+  DOUBLES_EQUAL(1, ComputeRerouteShare({ 100, 3, 0, 0, 0 }), 1e-9);
+  DOUBLES_EQUAL(1, ComputeRerouteShare({}), 1e-9);
 }
--- a/Tests/Routing/RetryBudgetTest.cxx
+++ b/Tests/Routing/RetryBudgetTest.cxx
@@ -12,52 +12,52 @@
 {
   void setup() override
   {
-    m_question.m_idempotent = true;
-    m_question.m_expected = std::chrono::milliseconds(10);
-    m_question.m_deadline = kTestStart + std::chrono::seconds(1);
+    m_request.m_idempotent = true;
+    m_request.m_expected = std::chrono::milliseconds(10);
+    m_request.m_deadline = kTestStart + std::chrono::seconds(1);
   }
 
-  RetryQuestion m_question;
+  RetryRequest m_request;
 };
 
 TEST(RetryBudget, NeverRepeatsWhatMayHaveLeftAndIsNotIdempotent)
 {
   RetryBudget budget(0.1, 10, 1);
-  m_question.m_idempotent = false;
-  CHECK(budget.Decide(kTestStart, m_question).m_verdict ==
-        RetryVerdict::NotIdempotent);
-  m_question.m_byteMayHaveLeft = false;
-  CHECK(budget.Decide(kTestStart, m_question).m_verdict == RetryVerdict::Retry);
+  m_request.m_idempotent = false;
+  CHECK(budget.Decide(kTestStart, m_request).m_status ==
+        RetryStatus::NotIdempotent);
+  m_request.m_mayHaveBeenSent = false;
+  CHECK(budget.Decide(kTestStart, m_request).m_status == RetryStatus::Retry);
 }
 
 TEST(RetryBudget, NoRetryThatEndsAfterTheDeadline)
 {
   RetryBudget budget(0.1, 10, 1);
-  m_question.m_deadline = kTestStart + std::chrono::milliseconds(10);
-  CHECK(budget.Decide(kTestStart, m_question).m_verdict ==
-        RetryVerdict::TooLate);
+  m_request.m_deadline = kTestStart + std::chrono::milliseconds(10);
+  CHECK(budget.Decide(kTestStart, m_request).m_status ==
+        RetryStatus::WouldMissDeadline);
   DOUBLES_EQUAL(10, budget.Tokens(), 0);
 }
 
 TEST(RetryBudget, AttemptsAreBounded)
 {
   RetryBudget budget(0.1, 10, 1);
-  m_question.m_attempts = m_question.m_maxAttempts;
-  CHECK(budget.Decide(kTestStart, m_question).m_verdict ==
-        RetryVerdict::TooManyAttempts);
+  m_request.m_attempts = m_request.m_maxAttempts;
+  CHECK(budget.Decide(kTestStart, m_request).m_status ==
+        RetryStatus::TooManyAttempts);
 }
 
 TEST(RetryBudget, BackoffGrowsAndIsJittered)
 {
   RetryBudget budget(0.1, 1000, 1);
-  m_question.m_maxAttempts = 100;
-  CHECK(budget.Decide(kTestStart, m_question).m_backoff == Duration::zero());
+  m_request.m_maxAttempts = 100;
+  CHECK(budget.Decide(kTestStart, m_request).m_backoff == Duration::zero());
   Duration longest{};
   Duration previous{};
   int equal = 0;
-  m_question.m_attempts = 6;
+  m_request.m_attempts = 6;
   for (int i = 0; i < 100; ++i) {
-    const Duration backoff = budget.Decide(kTestStart, m_question).m_backoff;
+    const Duration backoff = budget.Decide(kTestStart, m_request).m_backoff;
     equal += backoff == previous ? 1 : 0;
     previous = backoff;
     longest = std::max(longest, backoff);
@@ -71,10 +71,10 @@
 {
   // A third of all calls fails, and each failure asks for up to 3 retries
   // that fail with the same chance.
-  constexpr double kShare = 0.1;
-  constexpr double kReserve = 20;
+  constexpr double kRatio = 0.1;
+  constexpr double kCapacity = 20;
   constexpr int kCalls = 10000;
-  RetryBudget budget(kShare, kReserve, 1);
+  RetryBudget budget(kRatio, kCapacity, 1);
   Random random(2);
   int sent = 0;
   int successes = 0;
@@ -86,15 +86,14 @@
         ++successes;
         break;
       }
-      m_question.m_attempts = attempt;
-      if (budget.Decide(kTestStart, m_question).m_verdict !=
-          RetryVerdict::Retry) {
+      m_request.m_attempts = attempt;
+      if (budget.Decide(kTestStart, m_request).m_status != RetryStatus::Retry) {
         break;
       }
     }
   }
-  CHECK(sent - kCalls <= kShare * successes + kReserve);
-  CHECK(sent - kCalls > kReserve);
+  CHECK(sent - kCalls <= kRatio * successes + kCapacity);
+  CHECK(sent - kCalls > kCapacity);
 }
 
 TEST(RetryBudget, QuietTimesDoNotSaveUpForAStorm)
@@ -104,8 +103,7 @@
     budget.RecordSuccess();
   }
   int retries = 0;
-  while (budget.Decide(kTestStart, m_question).m_verdict ==
-         RetryVerdict::Retry) {
+  while (budget.Decide(kTestStart, m_request).m_status == RetryStatus::Retry) {
     ++retries;
   }
   CHECK_EQUAL(20, retries);
@@ -128,19 +126,19 @@
 
 TEST(HedgePolicy, HedgesIdempotentCallsAfterThe95thPercentile)
 {
-  const auto due = m_policy.HedgeAt(kTestStart, true, m_deadline);
+  const auto due = m_policy.HedgeTime(kTestStart, true, m_deadline);
   CHECK(due.has_value());
   CHECK(*due >= kTestStart + std::chrono::milliseconds(5));
   CHECK(*due <= kTestStart + std::chrono::milliseconds(7));
-  CHECK_FALSE(m_policy.HedgeAt(kTestStart, false, m_deadline).has_value());
+  CHECK_FALSE(m_policy.HedgeTime(kTestStart, false, m_deadline).has_value());
 }
 
 TEST(HedgePolicy, NoHedgeWithoutSamplesTimeOrBudget)
 {
   HedgePolicy fresh(m_budget);
-  CHECK_FALSE(fresh.HedgeAt(kTestStart, true, m_deadline).has_value());
+  CHECK_FALSE(fresh.HedgeTime(kTestStart, true, m_deadline).has_value());
   const TimePoint soon = kTestStart + std::chrono::milliseconds(2);
-  CHECK_FALSE(m_policy.HedgeAt(kTestStart, true, soon).has_value());
+  CHECK_FALSE(m_policy.HedgeTime(kTestStart, true, soon).has_value());
   CHECK(m_policy.Spend());
   CHECK(m_policy.Spend());
   CHECK_FALSE(m_policy.Spend());
--- a/Tests/Routing/RoutingConfigTest.cxx
+++ b/Tests/Routing/RoutingConfigTest.cxx
@@ -113,11 +113,11 @@
 TEST(RoutingConfig, KnowsWhatMayBeRepeated)
 {
   RouteRule route = MakeRoute("any", "/");
-  CHECK_FALSE(route.MayRepeat());
+  CHECK_FALSE(route.CanRetry());
   route.m_kind = RequestKind::Safe;
-  CHECK(route.MayRepeat());
+  CHECK(route.CanRetry());
   route.m_kind = RequestKind::Streaming;
-  CHECK_FALSE(route.MayRepeat());
+  CHECK_FALSE(route.CanRetry());
   route.m_isResumable = true;
-  CHECK(route.MayRepeat());
+  CHECK(route.CanRetry());
 }
--- a/Tests/Routing/RunnerTableTest.cxx
+++ b/Tests/Routing/RunnerTableTest.cxx
@@ -54,7 +54,7 @@
 TEST(RunnerLoad, RepeatedFailuresKeepWorkAwayUntilOneProbeSucceeds)
 {
   m_load.RecordFailure(kTestStart);
-  CHECK(m_load.Circuit(kTestStart) == CircuitState::Ok);
+  CHECK(m_load.Circuit(kTestStart) == CircuitState::Closed);
   m_load.RecordFailure(kTestStart);
   CHECK(m_load.Circuit(kTestStart) == CircuitState::Suspect);
   CHECK_FALSE(m_load.ClaimProbe(kTestStart));
@@ -64,34 +64,34 @@
   CHECK_FALSE(m_load.ClaimProbe(later));
   m_load.StartStep(1);
   m_load.FinishStep(later, 1, Duration(10), Duration(10));
-  CHECK(m_load.Circuit(later) == CircuitState::Ok);
+  CHECK(m_load.Circuit(later) == CircuitState::Closed);
 }
 
 TEST(RunnerLoad, SilenceOfAllKeepsWorkAwayAtOnce)
 {
-  m_load.NoteSent(kTestStart);
+  m_load.RecordSend(kTestStart);
   m_load.StartStep(1);
   m_load.StartStep(1);
   const TimePoint soon = kTestStart + std::chrono::milliseconds(40);
   const TimePoint later = kTestStart + std::chrono::milliseconds(60);
-  CHECK_FALSE(m_load.IsUnanswering(soon));
-  CHECK(m_load.IsUnanswering(later));
+  CHECK_FALSE(m_load.IsUnresponsive(soon));
+  CHECK(m_load.IsUnresponsive(later));
   m_load.AbandonStep(1);
-  m_load.RecordSilence(later, kTestStart);
+  m_load.RecordTimeout(later, kTestStart);
   CHECK(m_load.Circuit(later) == CircuitState::Suspect);
 }
 
 TEST(RunnerLoad, SilenceOfOneConnectionDoesNot)
 {
-  m_load.NoteSent(kTestStart);
+  m_load.RecordSend(kTestStart);
   m_load.StartStep(1);
   m_load.StartStep(1);
   const TimePoint soon = kTestStart + std::chrono::milliseconds(40);
   const TimePoint later = kTestStart + std::chrono::milliseconds(60);
   m_load.FinishStep(soon, 1, soon - kTestStart, Duration::zero());
-  CHECK_FALSE(m_load.IsUnanswering(later));
-  m_load.RecordSilence(later, kTestStart);
-  CHECK(m_load.Circuit(later) == CircuitState::Ok);
+  CHECK_FALSE(m_load.IsUnresponsive(later));
+  m_load.RecordTimeout(later, kTestStart);
+  CHECK(m_load.Circuit(later) == CircuitState::Closed);
 }
 
 TEST(RunnerLoad, SlownessFollowsSlowAnswersAndIsForgotten)
@@ -100,6 +100,6 @@
     m_load.StartStep(1);
     m_load.FinishStep(kTestStart, 1, Duration(1000), Duration(100));
   }
-  CHECK(m_load.Slowness(kTestStart) > 8.0);
-  CHECK(m_load.Slowness(kTestStart + std::chrono::seconds(60)) < 1.1);
+  CHECK(m_load.Slowdown(kTestStart) > 8.0);
+  CHECK(m_load.Slowdown(kTestStart + std::chrono::seconds(60)) < 1.1);
 }
--- a/Tests/Routing/StreamBench.cxx
+++ b/Tests/Routing/StreamSimulation.cxx
@@ -1,5 +1,5 @@
 // Runs one generation against toy engines in virtual time, with faults.
-#include "Routing/StreamBench.h"
+#include "Routing/StreamSimulation.h"
 
 #include <algorithm>
 
@@ -15,9 +15,9 @@
 
 } // namespace
 
-StreamBench::StreamBench(std::uint32_t aMaxTokens,
-                         std::uint32_t aPrefillChunk,
-                         std::vector<PlannedFault> aFaults)
+StreamSimulation::StreamSimulation(std::uint32_t aMaxTokens,
+                                   std::uint32_t aPrefillChunk,
+                                   std::vector<PlannedFault> aFaults)
   : m_faults(std::move(aFaults))
 {
   TestCluster cluster;
@@ -38,20 +38,20 @@
   settings.m_deadline = kTestStart + std::chrono::seconds(20);
   settings.m_maxTokens = aMaxTokens;
   settings.m_prefillChunk = aPrefillChunk;
-  m_machine = std::make_unique<StreamMachine>(settings, nullptr);
+  m_machine = std::make_unique<StreamStateMachine>(settings, nullptr);
 }
 
 void
-StreamBench::At(Duration aDelay, Event aEvent)
+StreamSimulation::At(Duration aDelay, Event aEvent)
 {
   m_events.emplace(m_now + aDelay, std::move(aEvent));
 }
 
 void
-StreamBench::Run()
+StreamSimulation::Run()
 {
   m_machine->OnTokenized(m_now, Prompt());
-  Drain();
+  PerformActions();
   constexpr int kMaxEvents = 10000;
   for (int i = 0; i < kMaxEvents; ++i) {
     const TimePoint due = m_machine->NextDeadline();
@@ -67,13 +67,13 @@
       m_now = due;
       m_machine->OnTick(m_now);
     }
-    Drain();
+    PerformActions();
   }
   m_attempts = m_machine->Attempt();
 }
 
 void
-StreamBench::Drain()
+StreamSimulation::PerformActions()
 {
   for (;;) {
     const std::vector<StreamAction> actions = m_machine->TakeActions();
@@ -87,7 +87,7 @@
 }
 
 void
-StreamBench::Perform(const StreamAction& aAction)
+StreamSimulation::Perform(const StreamAction& aAction)
 {
   if (const auto* send = std::get_if<SendStep>(&aAction)) {
     DoSendStep(*send);
@@ -102,7 +102,7 @@
 }
 
 StreamFault
-StreamBench::FaultAt(std::size_t aStep) const
+StreamSimulation::FaultAt(std::size_t aStep) const
 {
   for (const PlannedFault& fault : m_faults) {
     if (fault.m_step == aStep) {
@@ -113,15 +113,15 @@
 }
 
 void
-StreamBench::DoSendStep(const SendStep& aAction)
+StreamSimulation::DoSendStep(const SendStep& aAction)
 {
   m_sentAfterFinish |= !m_finishes.empty();
   const StreamFault fault = FaultAt(m_stepsSent++);
   const std::string& id = aAction.m_runner->m_id;
   const std::uint32_t attempt = aAction.m_step.m_attempt;
   const std::size_t stage = aAction.m_stage;
-  if (m_dead[id] || fault == StreamFault::KillBefore) {
-    m_dead[id] = true;
+  if (m_failed[id] || fault == StreamFault::KillBefore) {
+    m_failed[id] = true;
     return;
   }
   StepResult refusal;
@@ -136,7 +136,7 @@
       return;
     case StreamFault::KillAfter:
       m_engines.at(id).Run(aAction.m_step, stage);
-      m_dead[id] = true;
+      m_failed[id] = true;
       return;
     case StreamFault::BreakConnection:
       At(kHop, [this, attempt, stage] {
@@ -185,7 +185,7 @@
 }
 
 void
-StreamBench::Deliver(const SendStep& aAction, Duration aDelay)
+StreamSimulation::Deliver(const SendStep& aAction, Duration aDelay)
 {
   const StepResult result =
     m_engines.at(aAction.m_runner->m_id).Run(aAction.m_step, aAction.m_stage);
@@ -193,7 +193,7 @@
 }
 
 void
-StreamBench::DoNeedChain(const NeedChain& aAction)
+StreamSimulation::DoNeedChain(const NeedChain& aAction)
 {
   Chain chain;
   std::uint32_t layer = 0;
@@ -216,7 +216,7 @@
 }
 
 void
-StreamBench::DoEmit(const EmitToken& aAction)
+StreamSimulation::DoEmit(const EmitToken& aAction)
 {
   const auto produced =
     static_cast<std::size_t>(std::count(m_text.begin(), m_text.end(), ' '));
@@ -226,15 +226,15 @@
 }
 
 bool
-StreamBench::RanOnce() const
+StreamSimulation::RanEachPositionOnce() const
 {
   return std::all_of(m_engines.begin(), m_engines.end(), [](const auto& aPair) {
-    return aPair.second.RanOnce();
+    return aPair.second.RanEachPositionOnce();
   });
 }
 
 bool
-StreamBench::LoadsAreZero() const
+StreamSimulation::AreLoadsZero() const
 {
   const auto& runners = m_table->Runners();
   return std::all_of(
--- a/Tests/Routing/StreamBench.h
+++ b/Tests/Routing/StreamSimulation.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "Routing/StreamMachine.h"
+#include "Routing/StreamStateMachine.h"
 #include "Routing/TestCluster.h"
 #include "Routing/ToyModel.h"
 
@@ -40,12 +40,12 @@
   StreamFault m_fault = StreamFault::None;
 };
 
-class StreamBench
+class StreamSimulation
 {
 public:
-  StreamBench(std::uint32_t aMaxTokens,
-              std::uint32_t aPrefillChunk,
-              std::vector<PlannedFault> aFaults);
+  StreamSimulation(std::uint32_t aMaxTokens,
+                   std::uint32_t aPrefillChunk,
+                   std::vector<PlannedFault> aFaults);
 
   void Run();
 
@@ -60,8 +60,8 @@
   std::uint32_t m_attempts = 0;
   TimePoint m_finishedAt;
 
-  bool RanOnce() const;
-  bool LoadsAreZero() const;
+  bool RanEachPositionOnce() const;
+  bool AreLoadsZero() const;
   static std::vector<std::uint32_t> Prompt() { return { 5, 9, 2 }; }
 
 private:
@@ -73,14 +73,14 @@
   void Deliver(const SendStep& aAction, Duration aDelay);
   void DoNeedChain(const NeedChain& aAction);
   void DoEmit(const EmitToken& aAction);
-  void Drain();
+  void PerformActions();
   StreamFault FaultAt(std::size_t aStep) const;
 
   boost::intrusive_ptr<const RunnerTable> m_table;
   std::map<std::string, ToyEngine> m_engines;
-  std::map<std::string, bool> m_dead;
+  std::map<std::string, bool> m_failed;
   std::vector<PlannedFault> m_faults;
-  std::unique_ptr<StreamMachine> m_machine;
+  std::unique_ptr<StreamStateMachine> m_machine;
   TimePoint m_now = kTestStart;
   std::multimap<TimePoint, Event> m_events;
   bool m_slow = false;
--- a/Tests/Routing/StreamMachineTest.cxx
+++ b/Tests/Routing/StreamStateMachineTest.cxx
@@ -1,5 +1,5 @@
 // Every fault at every step of a generation, alone and in pairs.
-#include "Routing/StreamBench.h"
+#include "Routing/StreamSimulation.h"
 
 #include <string>
 
@@ -15,9 +15,10 @@
 void
 CheckRun(const std::vector<PlannedFault>& aFaults, std::uint32_t aChunk)
 {
-  StreamBench bench(kTokens, aChunk, aFaults);
+  StreamSimulation bench(kTokens, aChunk, aFaults);
   bench.Run();
-  const std::string expected = ComputeToyText(StreamBench::Prompt(), kTokens);
+  const std::string expected =
+    ComputeToyText(StreamSimulation::Prompt(), kTokens);
   std::string what = "chunk " + std::to_string(aChunk);
   for (const PlannedFault& fault : aFaults) {
     what += " step " + std::to_string(fault.m_step) + " fault " +
@@ -26,8 +27,8 @@
   const char* label = what.c_str();
   CHECK_TEXT(bench.m_finishes.size() == 1, label);
   CHECK_TEXT(bench.m_indicesInOrder, label);
-  CHECK_TEXT(bench.RanOnce(), label);
-  CHECK_TEXT(bench.LoadsAreZero(), label);
+  CHECK_TEXT(bench.RanEachPositionOnce(), label);
+  CHECK_TEXT(bench.AreLoadsZero(), label);
   CHECK_TEXT(!bench.m_sentAfterFinish, label);
   CHECK_TEXT(bench.m_tokensWhileSlow <= 1, label);
   if (bench.m_cancelled) {
@@ -42,9 +43,9 @@
 
 } // namespace
 
-TEST_GROUP(StreamMachine){};
+TEST_GROUP(StreamStateMachine){};
 
-TEST(StreamMachine, EveryFaultAtEveryStep)
+TEST(StreamStateMachine, EveryFaultAtEveryStep)
 {
   for (const std::uint32_t chunk : { 0U, 1U, 2U }) {
     for (std::size_t step = 0; step < kSteps + 6; ++step) {
@@ -55,7 +56,7 @@
   }
 }
 
-TEST(StreamMachine, EveryPairOfFaults)
+TEST(StreamStateMachine, EveryPairOfFaults)
 {
   for (std::size_t first = 0; first < kSteps; ++first) {
     for (std::size_t second = first + 1; second < kSteps + 6; ++second) {
@@ -70,11 +71,11 @@
   }
 }
 
-TEST(StreamMachine, SilenceIsFoundWithinTheStepTimeout)
+TEST(StreamStateMachine, SilenceIsFoundWithinTheStepTimeout)
 {
-  StreamBench undisturbed(kTokens, 0, {});
+  StreamSimulation undisturbed(kTokens, 0, {});
   undisturbed.Run();
-  StreamBench silent(kTokens, 0, { { 7, StreamFault::KillBefore } });
+  StreamSimulation silent(kTokens, 0, { { 7, StreamFault::KillBefore } });
   silent.Run();
   // 4 token intervals of 25 ms, then the lost steps are computed again.
   const auto longer = silent.m_finishedAt - undisturbed.m_finishedAt;
@@ -83,20 +84,20 @@
   CHECK_EQUAL(2, silent.m_attempts);
 }
 
-TEST(StreamMachine, StagesThatKeepDyingEndTheStreamWithAReason)
+TEST(StreamStateMachine, StagesThatKeepDyingEndTheStreamWithAReason)
 {
   std::vector<PlannedFault> faults;
   for (std::size_t step = 3; step < 100; ++step) {
     faults.push_back({ step, StreamFault::BreakConnection });
   }
-  StreamBench bench(kTokens, 0, faults);
+  StreamSimulation bench(kTokens, 0, faults);
   bench.Run();
   CHECK_EQUAL(1, bench.m_finishes.size());
   CHECK(bench.m_finishes[0].m_reason == FinishReason::TooManyAttempts);
   CHECK_FALSE(bench.m_finishes[0].m_text.empty());
-  STRCMP_EQUAL(ComputeToyText(StreamBench::Prompt(), 1).c_str(),
+  STRCMP_EQUAL(ComputeToyText(StreamSimulation::Prompt(), 1).c_str(),
                bench.m_text.c_str());
-  CHECK(bench.LoadsAreZero());
+  CHECK(bench.AreLoadsZero());
 }
 
 // One runner that holds the whole model, and a stream over it.
@@ -135,7 +136,7 @@
 
 TEST(SingleStageStream, FreshStreamWithoutChainIsRefusedAtOnce)
 {
-  StreamMachine machine(m_settings, nullptr);
+  StreamStateMachine machine(m_settings, nullptr);
   machine.OnTokenized(kTestStart, { 1 });
   machine.OnNoChain(kTestStart, "no ready runner for layer 3");
   CHECK(machine.IsFinished());
@@ -146,7 +147,7 @@
 
 TEST(SingleStageStream, RunningStreamWaitsForAChainUntilItsDeadline)
 {
-  StreamMachine machine(m_settings, nullptr);
+  StreamStateMachine machine(m_settings, nullptr);
   machine.OnTokenized(kTestStart, { 1 });
   machine.OnChain(kTestStart, m_chain);
   machine.OnStepFailed(kTestStart, 1, 0);
@@ -172,7 +173,7 @@
 {
   RetryBudget budget(0.5, 1, 1);
   CHECK(budget.Spend());
-  StreamMachine machine(m_settings, &budget);
+  StreamStateMachine machine(m_settings, &budget);
   machine.OnTokenized(kTestStart, { 1 });
   machine.OnChain(kTestStart, m_chain);
   machine.OnStepFailed(kTestStart, 1, 0);
@@ -189,7 +190,7 @@
 
 TEST(SingleStageStream, EndMarkWithoutTextIsNoToken)
 {
-  StreamMachine machine(m_settings, nullptr);
+  StreamStateMachine machine(m_settings, nullptr);
   machine.OnTokenized(kTestStart, { 1 });
   machine.OnChain(kTestStart, m_chain);
   machine.TakeActions();
--- a/Tests/Routing/ToyModel.h
+++ b/Tests/Routing/ToyModel.h
@@ -30,7 +30,7 @@
   // Runs a step, answers a repeated one from memory, or reports a gap.
   StepResult Run(const EngineStep& aStep, std::size_t aStage);
   // True when no position ran twice in one attempt.
-  bool RanOnce() const { return m_ranOnce; }
+  bool RanEachPositionOnce() const { return m_ranOnce; }
 
 private:
   // Sums of each layer's inputs so far: what attention reads.
--- a/Tests/Routing/WindowedBudgetTest.cxx
+++ b/Tests/Routing/WindowedBudgetTest.cxx
@@ -27,7 +27,7 @@
 {
   WindowedBudgetSettings settings;
   settings.m_slack = 100;
-  settings.m_caution = 1;
+  settings.m_safetyFactor = 1;
   WindowedBudget budget(settings);
   int granted = 0;
   while (budget.Spend(At(0), 10)) {
@@ -40,7 +40,7 @@
 {
   WindowedBudgetSettings settings;
   settings.m_slack = 0;
-  settings.m_caution = 1;
+  settings.m_safetyFactor = 1;
   WindowedBudget budget(settings);
   CHECK_FALSE(budget.Spend(At(0), 1));
   for (int i = 0; i < 10; ++i) {
@@ -56,11 +56,11 @@
 {
   WindowedBudgetSettings settings;
   settings.m_slack = 100;
-  settings.m_caution = 1;
+  settings.m_safetyFactor = 1;
   WindowedBudget budget(settings, At(0));
-  CHECK(budget.Left(At(0), 1) <= 15);
-  CHECK(budget.Left(At(5), 1) >= 49);
-  CHECK(budget.Left(At(5), 1) <= 51);
+  CHECK(budget.Remaining(At(0), 1) <= 15);
+  CHECK(budget.Remaining(At(5), 1) >= 49);
+  CHECK(budget.Remaining(At(5), 1) <= 51);
 }
 
 // Load pattern: every request fails at first, for a minute, at 20 gateways
@@ -73,16 +73,16 @@
   std::vector<WindowedBudget> budgets(kGateways, WindowedBudget(settings));
   Random random(5);
   std::vector<double> requests;
-  std::vector<double> repeats;
+  std::vector<double> retries;
   for (double now = 0; now < 60; now += 0.005) {
     auto& budget = budgets[random.Below(random.Below(kGateways) + 1)];
     budget.RecordRequest(At(now));
     requests.push_back(now);
     while (random.Below(3) != 0 && budget.Spend(At(now), kGateways)) {
-      repeats.push_back(now);
+      retries.push_back(now);
     }
   }
-  CHECK(!repeats.empty());
+  CHECK(!retries.empty());
   auto countIn = [](const std::vector<double>& aTimes, double aFrom) {
     return std::count_if(aTimes.begin(), aTimes.end(), [&](double aTime) {
       return aTime >= aFrom && aTime < aFrom + 10;
@@ -90,6 +90,6 @@
   };
   for (double from = 0; from < 50; from += 0.5) {
     const double allowed = 0.2 * countIn(requests, from) + 200;
-    CHECK(countIn(repeats, from) <= allowed);
+    CHECK(countIn(retries, from) <= allowed);
   }
 }
