--- a/Source/Control/ClientNode.h
+++ b/Source/Control/ClientNode.h
@@ -1,4 +1,5 @@
-// A gateway's feed and its calls to the control group, on one Asio thread.
+// A gateway's feed and its calls to the control group, handled by one Asio
+// thread.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +11,16 @@
 #include <boost/asio/steady_timer.hpp>
 
 #include "Control/ControlClient.h"
+#include "Control/LeasedConfigView.h"
 #include "Control/PendingCalls.h"
 #include "Control/ReplicaDirectory.h"
-#include "Control/ViewKeeper.h"
 #include "Wire/FrameLink.h"
 
 namespace parsleycove {
 
-// Holds one feed link, and beside it a link to the leader where that is
-// another replica. A feed that is silent, ends, or grants no lease for too long
-// is replaced by one to another replica.
+// Keeps one feed link, and in addition a link to the leader if the feed comes
+// from another replica. Reconnects the feed to another replica if the current
+// one is unresponsive, closes the link, or grants no lease for too long.
 class ClientNode final : public FrameLinkListener
 {
 public:
@@ -32,7 +33,8 @@
   void Start();
   void Close();
 
-  // Sends a request until it is answered. The body's id is set here.
+  // Sends a request, and sends it again until it is answered or its deadline
+  // has passed. Sets the id of the body.
   template<typename Body>
   void Call(Body aBody,
             CallTarget aTarget,
@@ -48,8 +50,8 @@
   void RenewEndpoint(state::EndpointRefT aReference);
   void AnnounceStopping();
 
-  // Any thread.
-  const ViewKeeper& View() const { return m_view; }
+  // May be called by any thread.
+  const LeasedConfigView& View() const { return m_view; }
 
   void OnOpen(FrameLink& aLink) override;
   void OnFrame(FrameLink& aLink, const ReceivedFrame& aFrame) override;
@@ -59,8 +61,8 @@
   // Feed
   void ConnectFeed();
   void ReplaceFeed(bool aFailed);
-  void ConnectFeedLater();
-  void Greet();
+  void ScheduleConnect();
+  void SendHello();
   void SendPing();
   void SchedulePing(Duration aAfter);
   void OnFeedMessage(const feed::FeedBodyUnion& aBody);
@@ -68,7 +70,7 @@
   void OnImage(const feed::ImageT& aImage);
   void OnDelta(const feed::DeltaT& aDelta);
   void OnPong(const feed::PongT& aPong);
-  void PublishSoon();
+  void SchedulePublish();
 
   // Calls
   void AddCall(std::uint64_t aId,
@@ -83,14 +85,14 @@
   void OnAnswer(const feed::FeedBodyUnion& aBody);
   void OnProposeReply(const feed::FeedBodyUnion& aBody);
   void Retry(std::uint64_t aId, Duration aAfter);
-  void DropLeaderLink();
+  void CloseLeaderLink();
 
   FrameLinkOptions LinkOptions() const;
 
   boost::asio::io_context& m_context;
   const ControlClientOptions m_options;
   ReplicaDirectory m_directory;
-  ViewKeeper m_view;
+  LeasedConfigView m_view;
   PendingCalls m_calls;
   std::uint64_t m_lastId = 0;
 
@@ -103,15 +105,15 @@
   boost::asio::steady_timer m_callTimer;
   std::optional<TimePoint> m_callTimerAt;
 
-  // When each unanswered Ping of the present feed was sent.
+  // Send time of each unanswered Ping of the current feed, by its id.
   std::unordered_map<std::uint64_t, TimePoint> m_pings;
-  // When the present feed was opened or last granted a lease.
+  // When the current feed was opened or last granted a lease.
   TimePoint m_lastGrantAt{};
-  // As of when a quorum has confirmed what the present feed sends.
+  // Latest time at which a quorum confirmed the state of the current feed.
   TimePoint m_confirmedAt{};
   std::vector<state::EndpointRefT> m_renewals;
   bool m_stopping = false;
-  bool m_wantsImage = false;
+  bool m_needsImage = false;
   bool m_publishRequested = false;
   bool m_closed = false;
 };
--- a/Source/Control/ClientNodeCalls.cxx
+++ b/Source/Control/ClientNodeCalls.cxx
@@ -1,4 +1,5 @@
-// The calls of a gateway: sending, resending and pairing with answers.
+// The calls of a gateway to the control group: sends them, retries them and
+// matches the answers.
 #include "Control/ClientNode.h"
 
 #include <algorithm>
@@ -10,8 +11,9 @@
 
 namespace {
 
-// While no link is open or no leader is known.
-constexpr std::chrono::milliseconds kRetryPauseMs{ 20 };
+// Delay before a call is retried if no link is open, or after a replica has
+// rejected the call or could not complete it.
+constexpr std::chrono::milliseconds kRetryDelayMs{ 20 };
 
 } // namespace
 
@@ -32,7 +34,7 @@
   call.m_handler = std::move(aHandler);
   m_calls.Add(std::move(call));
   if (m_closed || aDeadline <= now) {
-    m_calls.TakeDue(m_closed ? aDeadline : now);
+    m_calls.CollectDue(m_closed ? aDeadline : now);
     return;
   }
   PendingCall& added = *m_calls.Find(aId);
@@ -44,7 +46,7 @@
 ClientNode::SendDueCalls()
 {
   const TimePoint now = BootClock::now();
-  for (const std::uint64_t id : m_calls.TakeDue(now)) {
+  for (const std::uint64_t id : m_calls.CollectDue(now)) {
     if (PendingCall* call = m_calls.Find(id)) {
       SendCall(*call, now);
     }
@@ -59,10 +61,10 @@
 {
   FrameLink* link = LinkFor(aCall.m_target);
   if (link == nullptr || !link->IsOpen()) {
-    aCall.m_nextSendAt = aNow + kRetryPauseMs;
+    aCall.m_nextSendAt = aNow + kRetryDelayMs;
     return;
   }
-  ++aCall.m_unresolved;
+  ++aCall.m_uncertainSends;
   aCall.m_nextSendAt = aNow + m_options.m_resendInterval;
   link->Send(aCall.m_frame);
 }
@@ -77,14 +79,14 @@
   if (m_leaderLink && m_leaderLinkAddress == leader) {
     return m_leaderLink.get();
   }
-  DropLeaderLink();
+  CloseLeaderLink();
   m_leaderLinkAddress = leader;
   m_leaderLink = FrameLink::Connect(m_context, *leader, LinkOptions(), *this);
   return m_leaderLink.get();
 }
 
 void
-ClientNode::DropLeaderLink()
+ClientNode::CloseLeaderLink()
 {
   if (m_leaderLink) {
     m_leaderLink->Close();
@@ -122,18 +124,19 @@
       if (const auto& reply = *aBody.AsReadActionReply(); reply.ok) {
         m_calls.Complete(reply.id, aBody);
       } else {
-        m_calls.NoteRefused(reply.id);
-        Retry(reply.id, kRetryPauseMs);
+        m_calls.RecordRejection(reply.id);
+        Retry(reply.id, kRetryDelayMs);
       }
       break;
     case feed::FeedBody::ConfirmReadReply:
       if (const auto& reply = *aBody.AsConfirmReadReply(); reply.ok) {
-        // Deltas before the answer came on the same link.
+        // All deltas up to the confirmed index came before this answer on the
+        // same link.
         m_view.Publish();
         m_calls.Complete(reply.id, aBody);
       } else {
-        m_calls.NoteRefused(reply.id);
-        Retry(reply.id, kRetryPauseMs);
+        m_calls.RecordRejection(reply.id);
+        Retry(reply.id, kRetryDelayMs);
       }
       break;
     case feed::FeedBody::StatusReply:
@@ -143,8 +146,8 @@
       if (const auto& reply = *aBody.AsAdminReply(); !reply.not_leader) {
         m_calls.Complete(reply.id, aBody);
       } else {
-        m_calls.NoteRefused(reply.id);
-        Retry(reply.id, kRetryPauseMs);
+        m_calls.RecordRejection(reply.id);
+        Retry(reply.id, kRetryDelayMs);
       }
       break;
     default:
@@ -161,7 +164,7 @@
     return;
   }
   if (reply.status == feed::ProposeStatus::NotLeader) {
-    m_calls.NoteRefused(reply.id);
+    m_calls.RecordRejection(reply.id);
     if (reply.leader_address.empty()) {
       m_directory.SetLeader(std::nullopt);
     } else {
@@ -169,7 +172,7 @@
         SocketAddress{ reply.leader_address, reply.leader_port });
     }
   }
-  Retry(reply.id, kRetryPauseMs);
+  Retry(reply.id, kRetryDelayMs);
 }
 
 void
--- a/Source/Control/ReplicaNode.cxx
+++ b/Source/Control/ReplicaNode.cxx
@@ -308,7 +308,7 @@
 ReplicaNode::StartRound()
 {
   const TimePoint now = BootClock::now();
-  m_feeds.ForgetGone(now);
+  m_feeds.RemoveExpiredGateways(now);
   consensus::ReadIndexT report = MakeReport();
   if (m_maintenance) {
     m_maintenance->RecordReport(now, m_options.m_replica, report);
@@ -363,7 +363,7 @@
 }
 
 void
-ReplicaNode::NoteRenewals(
+ReplicaNode::RecordRenewals(
   const std::vector<std::unique_ptr<state::EndpointRefT>>& aRenewed)
 {
   for (const auto& reference : aRenewed) {
--- a/Tests/Control/EndToEndTest.cxx
+++ b/Tests/Control/EndToEndTest.cxx
@@ -1,11 +1,12 @@
-// Tests of replicas and clients together: commits, in force, lost members.
+// Tests of replicas and clients together: commits, changes in force, failed
+// quorum, restarts from disk and replacement of a failed member.
 #include <memory>
 #include <string>
 #include <vector>
 
 #include "Control/Cluster.h"
 
-// Last, since its leak macros redefine new.
+// Included last, since the leak detection of CppUTest redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace parsleycove;
@@ -18,10 +19,10 @@
   return aAnswer.m_value && aAnswer.m_value->code == state::ResultCode::Ok;
 }
 
-// The client sends a command again when its link breaks or the leader changes;
-// the change that was made is then told as a duplicate.
+// The client sends a command again if its link breaks or the leader changes. If
+// the first send has been applied, the answer is Duplicate.
 bool
-IsMade(const Answer<state::CommandResultT>& aAnswer)
+IsApplied(const Answer<state::CommandResultT>& aAnswer)
 {
   return IsOk(aAnswer) || (aAnswer.m_value && aAnswer.m_value->code ==
                                                 state::ResultCode::Duplicate);
@@ -91,14 +92,15 @@
   const auto second = Propose(*m_client, MakeChange("c2", 1, "counter"));
   CHECK(second.m_value.has_value());
   CHECK_EQUAL(2, second.m_value->revision);
-  // The same change id through another replica, after the leader has changed.
+  // Sends change id c1 again through another replica, after the leader has
+  // changed.
   const auto late = Connect("late", 3 - leader - other);
   const auto again = Propose(*late, MakeChange("c1", 0, "urgent"));
   CHECK(again.m_value.has_value());
   CHECK(again.m_value->code == state::ResultCode::Duplicate);
   CHECK_EQUAL(first.m_value->index, again.m_value->index);
   CHECK_EQUAL(1, again.m_value->revision);
-  // Of two racing operators with equal numbers one loses.
+  // Of two changes with an equal base revision, the second one is rejected.
   const auto loser = Propose(*late, MakeChange("c3", 1, "booking"));
   CHECK(loser.m_value.has_value());
   CHECK(loser.m_value->code == state::ResultCode::RevisionConflict);
@@ -145,7 +147,7 @@
   CHECK(WaitUntil([&] { return m_client->HasLease(BootClock::now()); }));
   m_cluster.Stop((leader + 1) % 3);
   m_cluster.Stop((leader + 2) % 3);
-  // The leader still runs and answers, but nobody confirms it.
+  // The leader still runs and answers, but no follower confirms its state.
   CHECK(WaitUntil([&] { return !m_client->HasLease(BootClock::now()); }));
   CHECK(WaitUntil([&] { return !m_cluster.Replica(leader).IsLeader(); }));
   const auto refused =
@@ -156,9 +158,9 @@
   CHECK(refused.m_reason.m_code == ControlError::NotAccepted);
   CHECK_FALSE(m_client->HasLease(BootClock::now()));
   CHECK(m_client->View()->FindClass("urgent") != nullptr);
-  // With the quorum back the client goes on by itself.
+  // Once there is a quorum again, the client recovers without a restart.
   m_cluster.Start((leader + 1) % 3);
-  // What was told not to be accepted has not taken revision 2.
+  // The change that was answered as not accepted has not used revision 2.
   const auto third = Propose(*m_client, MakeChange("c3", 1, "booking"));
   CHECK(third.m_value.has_value());
   CHECK_EQUAL(2, third.m_value->revision);
@@ -186,7 +188,7 @@
     const std::string number = std::to_string(i);
     const auto made =
       Propose(*m_client, MakeChange("c" + number, i, "w" + number));
-    CHECK_TEXT(IsMade(made), Describe(made).c_str());
+    CHECK_TEXT(IsApplied(made), Describe(made).c_str());
     CHECK_EQUAL(static_cast<std::uint64_t>(i) + 1, made.m_value->revision);
   }
   for (std::size_t i = 0; i < 3; ++i) {
@@ -255,22 +257,22 @@
 TEST(EndToEnd, ALearnerCatchesUpBecomesAVoterAndReplacesALostMember)
 {
   const std::size_t leader = m_cluster.WaitForLeader();
-  const std::size_t lost = (leader + 1) % 3;
+  const std::size_t failed = (leader + 1) % 3;
   m_client = Connect("gateway", leader);
   for (int i = 0; i < 20; ++i) {
     const std::string number = std::to_string(i);
     const auto made =
       Propose(*m_client, MakeChange("c" + number, i, "w" + number));
-    CHECK_TEXT(IsMade(made), Describe(made).c_str());
+    CHECK_TEXT(IsApplied(made), Describe(made).c_str());
     CHECK_EQUAL(static_cast<std::uint64_t>(i) + 1, made.m_value->revision);
   }
-  m_cluster.Stop(lost);
-  const std::size_t spare = m_cluster.AddSpare(4, ZoneOf(lost));
+  m_cluster.Stop(failed);
+  const std::size_t spare = m_cluster.AddSpare(4, ZoneOf(failed));
   m_cluster.Start(spare);
   feed::AddReplicaT add;
   add.replica = 4;
   add.vm = "vm-4";
-  add.zone = ZoneOf(lost);
+  add.zone = ZoneOf(failed);
   add.address = m_cluster.Address(spare).m_address;
   add.port = m_cluster.Address(spare).m_port;
   CHECK(ChangeGroup([&](auto aHandler) {
@@ -285,19 +287,20 @@
     }
     return false;
   }));
-  // A voter is listed before its promotion is committed, and a group makes one
-  // change at a time.
+  // The status lists a voter before its promotion is committed, and the group
+  // allows only one membership change at a time.
   std::string fault;
   CHECK(WaitUntil([&] {
     const bool isRemoved = ChangeGroup(
       [&](auto aHandler) {
-        m_client->RemoveReplica(lost + 1, TestDeadline(), aHandler);
+        m_client->RemoveReplica(failed + 1, TestDeadline(), aHandler);
       },
       &fault);
     return isRemoved || fault != "membership: another change is under way";
   }));
   STRCMP_EQUAL("", fault.c_str());
-  // Right after the repair a second one is lost; the learner makes the quorum.
+  // A second member fails right after the replacement; the new voter completes
+  // the quorum.
   m_cluster.Stop((leader + 2) % 3);
   const auto after = Propose(*m_client, MakeChange("c20", 20, "w20"));
   CHECK(after.m_value.has_value());
--- a/Tests/Control/FreezableRelay.cxx
+++ b/Tests/Control/FreezableRelay.cxx
@@ -1,4 +1,4 @@
-// A TCP relay that can stop passing bytes on, without closing anything.
+// A TCP relay that can stop forwarding bytes without closing its connections.
 #include "Control/FreezableRelay.h"
 
 #include <array>
@@ -22,7 +22,7 @@
 
 namespace {
 
-// One direction of a relayed connection and the socket to write to.
+// One direction of a relayed connection.
 struct Pipe : std::enable_shared_from_this<Pipe>
 {
   Pipe(std::shared_ptr<tcp::socket> aFrom,
@@ -65,28 +65,28 @@
 
   std::shared_ptr<tcp::socket> m_from;
   std::shared_ptr<tcp::socket> m_to;
-  std::shared_ptr<bool> m_frozen; // of this connection, for good
+  std::shared_ptr<bool> m_frozen; // once true, stays true
   std::array<char, 16UL * 1024> m_bytes{};
 };
 
 } // namespace
 
-struct FreezableRelay::Parts
+struct FreezableRelay::Impl
 {
-  explicit Parts(SocketAddress aTarget)
+  explicit Impl(SocketAddress aTarget)
     : m_target(std::move(aTarget))
     , m_acceptor(m_context, { asio::ip::make_address("127.0.0.1"), 0 })
   {
     Accept();
     m_thread = std::thread([this] { m_context.run(); });
   }
-  ~Parts()
+  ~Impl()
   {
     m_context.stop();
     m_thread.join();
   }
-  Parts(const Parts&) = delete;
-  Parts& operator=(const Parts&) = delete;
+  Impl(const Impl&) = delete;
+  Impl& operator=(const Impl&) = delete;
 
   void Accept()
   {
@@ -138,13 +138,13 @@
   asio::io_context m_context{ 1 };
   tcp::acceptor m_acceptor;
   std::shared_ptr<bool> m_frozen = std::make_shared<bool>(false);
-  // Kept open until the end.
+  // Keeps the sockets of frozen connections open until the relay is destroyed.
   std::list<std::shared_ptr<tcp::socket>> m_sockets;
   std::thread m_thread;
 };
 
 FreezableRelay::FreezableRelay(SocketAddress aTarget)
-  : m_parts(std::make_unique<Parts>(std::move(aTarget)))
+  : m_impl(std::make_unique<Impl>(std::move(aTarget)))
 {
 }
 
@@ -153,19 +153,19 @@
 SocketAddress
 FreezableRelay::Address() const
 {
-  return { "127.0.0.1", m_parts->m_acceptor.local_endpoint().port() };
+  return { "127.0.0.1", m_impl->m_acceptor.local_endpoint().port() };
 }
 
 void
 FreezableRelay::Freeze()
 {
-  m_parts->SetFrozen(true);
+  m_impl->SetFrozen(true);
 }
 
 void
 FreezableRelay::Thaw()
 {
-  m_parts->SetFrozen(false);
+  m_impl->SetFrozen(false);
 }
 
 } // namespace parsleycove
