--- a/Source/Control/ReplicaNode.cxx
+++ b/Source/Control/ReplicaNode.cxx
@@ -334,7 +334,7 @@
 {
   const TimePoint now = BootClock::now();
   consensus::ReadIndexT report;
-  report.report_min_index = m_feeds.TakeReport(now);
+  report.report_min_index = m_feeds.ReportMinAppliedIndex(now);
   report.report_feeds = m_feeds.CountLive(now);
   return report;
 }
